--- a/crates/bulrushusher_forward/benches/place.rs
+++ b/crates/bulrushusher_forward/benches/place.rs
@@ -3,8 +3,8 @@
 //! `cargo bench -p bulrushusher_forward` runs it.
 
 use bulrushusher_forward::{
-    Candidate, ForecastConfig, GatewayReport, LengthModel, LoadConfig, Members, MembersConfig,
-    MemoryForecast, PeersConfig, RunNote, RunShape, Runner, RunnerLoads, Runs, Stage,
+    ForecastConfig, GatewayReport, LengthModel, LoadConfig, Members, MembersConfig, MemoryForecast,
+    PeersConfig, RunNote, RunShape, Runner, RunnerLoads, Runs, SelectionContext, Stage,
     rank_for_decode,
 };
 use bulrushusher_time::Millis;
@@ -14,7 +14,8 @@
 /// Runs at each runner: memory for prompts of 5,000 tokens is nearly full.
 const RUNS_EACH: usize = 8;
 
-const RUN: RunShape = RunShape { prompt: 4_800.0, made: 0.0, expected: 3_000.0, most: 9_000.0 };
+const RUN: RunShape =
+    RunShape { prompt: 4_800.0, generated: 0.0, expected: 3_000.0, max_output: 9_000.0 };
 
 struct Pool {
     service: ServiceName,
@@ -46,8 +47,8 @@
     }
     let mut reports = vec![GatewayReport { number: 1, ..GatewayReport::default() }; gateways];
     for run in 0..runners * RUNS_EACH {
-        let made = (run * 977 % 4_000) as f64;
-        let note = RunNote::new(runner_id(run % runners), RunShape { made, ..RUN });
+        let generated = (run * 977 % 4_000) as f64;
+        let note = RunNote::new(runner_id(run % runners), RunShape { generated, ..RUN });
         reports[run % gateways].runs.push(RunNote { begun: true, ..note });
     }
     let mut runs = Runs::new(PeersConfig::default());
@@ -66,7 +67,7 @@
 impl Pool {
     fn rank(&self, draw: f64) -> usize {
         let now = Millis(20);
-        let cx = Candidate {
+        let cx = SelectionContext {
             members: &self.members,
             loads: &self.loads,
             service: &self.service,
--- a/crates/bulrushusher_forward/src/back_pressure.rs
+++ b/crates/bulrushusher_forward/src/back_pressure.rs
@@ -1,8 +1,8 @@
-//! What runners asked of those that send to them, and what may be sent to them by it.
+//! Back-pressure signalled by runners, and the requests that it allows.
 //!
-//! Back-pressure binds, unlike what is guessed of a runner's load: where this gateway backs off from all runners
-//! of a service, or their rate limits are used up, callers are refused. A signal counts for the start of the
-//! runner that sent it.
+//! Back-pressure is binding, unlike estimates of a runner's load: if this gateway is backing off
+//! from all runners of a service, or has used up their rate limits, it refuses callers. A signal
+//! applies only to the process start of the runner that sent it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,119 +12,121 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-use crate::limit_share::{LimitUse, Share, Sharers};
+use crate::limit_share::{LimitBucket, Share, Sharers};
 use crate::{Born, RateLimit, Runner, RunnerSignals};
 
-/// How long signals count.
+/// Lifetimes of signals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackPressureConfig {
-    /// Silence after which another gateway has no share of limits any more.
-    pub gone_after: Millis,
-    /// How long a limit lasts after the last answer that named it: answers overtake each other.
-    pub limit_lingers: Millis,
-    /// Age of the last signal of a limit after which a request may find out whether it still holds.
-    pub limit_stale: Millis,
-    /// How long such a request, and the first one after a backoff, keeps others back.
-    pub trial: Millis,
-    /// How long gateways tell each other that a limit is over.
-    pub end_told: Millis,
-    /// Longest backoff that is granted at once.
-    pub longest_backoff: Millis,
-    /// How long what a runner asked for is remembered after it was due, or was heard last.
-    pub remembered: Millis,
+    /// Silence after which another gateway loses its share of rate limits.
+    pub gateway_timeout: Millis,
+    /// How long a limit outlives the last answer that contained it, because answers may arrive out
+    /// of order.
+    pub limit_linger: Millis,
+    /// Age of a limit's last signal after which one request may probe whether it still applies.
+    pub limit_stale_after: Millis,
+    /// How long such a probe, or the first request after a backoff, holds back other requests.
+    pub probe_timeout: Millis,
+    /// How long gateways report the end of a limit to one another.
+    pub limit_end_report_time: Millis,
+    /// Maximum backoff that one answer can request.
+    pub max_backoff: Millis,
+    /// How long a runner's entry is kept after its backoff ended or its limit was last signalled.
+    pub retention: Millis,
 }
 
 impl Default for BackPressureConfig {
-    /// A gateway that is started again is back within ten seconds, and has its share still. Reports come
-    /// every 0.7 s, and one may be lost. After ten minutes a runner may as well say it again.
+    /// A restarted gateway is back within ten seconds and keeps its share of the limits. Reports
+    /// are sent every 0.7 s, and one may be lost. A runner that needs a backoff of more than ten
+    /// minutes can signal it again.
     fn default() -> BackPressureConfig {
         BackPressureConfig {
-            gone_after: Millis(10_000),
-            limit_lingers: Millis(1_000),
-            limit_stale: Millis(5_000),
-            trial: Millis(1_000),
-            end_told: Millis(3_000),
-            longest_backoff: Millis(600_000),
-            remembered: Millis(60_000),
+            gateway_timeout: Millis(10_000),
+            limit_linger: Millis(1_000),
+            limit_stale_after: Millis(5_000),
+            probe_timeout: Millis(1_000),
+            limit_end_report_time: Millis(3_000),
+            max_backoff: Millis(600_000),
+            retention: Millis(60_000),
         }
     }
 }
 
-/// Why nothing may be sent to a runner now.
+/// Why no request may be sent to a runner now.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-pub enum Pressure {
-    /// It has told this gateway when to come back.
-    #[display("the time in the runner's Retry-After is not over")]
+pub enum BackPressureError {
+    /// The runner sent a Retry-After that has not expired.
+    #[display("the runner's Retry-After time has not passed")]
     RetryAfter,
-    /// It has said that it leaves.
-    #[display("the runner leaves")]
+    /// The runner signalled that it is leaving.
+    #[display("the runner is leaving")]
     Leaving,
-    /// This gateway's share of its rate limit is used up.
-    #[display("the runner's rate limit is reached")]
+    /// This gateway's share of the runner's rate limit is used up.
+    #[display("this gateway's share of the runner's rate limit is used up")]
     RateLimit,
 }
 
-/// What runners asked for, for one choice among them.
+/// Back-pressure of all runners, for one selection.
 #[derive(Clone, Copy, Debug)]
-pub struct PressureView<'a> {
-    /// What is known.
+pub struct BackPressureView<'a> {
+    /// The state of all runners.
     pub pressure: &'a BackPressure,
-    /// A random draw in `0.0..1.0`, see [`BackPressure::is_open`].
+    /// A random number in `0.0..1.0`, see [`BackPressure::is_open`].
     pub draw: f64,
 }
 
-impl PressureView<'_> {
-    /// True when a request may be sent to the runner.
+impl BackPressureView<'_> {
+    /// True if a request may be sent to the runner.
     pub fn is_open(&self, runner: &Runner, now: Millis) -> bool {
         self.pressure.is_open(runner, self.draw, now)
     }
 }
 
-/// How many runners asked for something.
+/// Number of runners under back-pressure.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PressureCounts {
-    /// Runners that name a rate limit.
+pub struct BackPressureCounts {
+    /// Runners that signal a rate limit.
     pub limited: usize,
-    /// Runners that this gateway backs off from.
+    /// Runners that this gateway is backing off from.
     pub backing_off: usize,
 }
 
-/// What a gateway tells of a runner's rate limit.
+/// A runner's rate limit, as reported between gateways.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitReport {
     /// The runner.
     pub runner: RunnerId,
-    /// The start that named it.
+    /// The process start that signalled the limit.
     pub born: Option<Born>,
-    /// The limit; `None` when it is over.
+    /// The limit; `None` if it has ended.
     pub limit: Option<RateLimit>,
-    /// Time since the runner said so.
+    /// Time since the runner signalled it.
     pub age: Millis,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
     until: Millis,
-    /// When the first request after it was sent.
-    tried_at: Option<Millis>,
+    /// When the first request after the backoff was sent.
+    probed_at: Option<Millis>,
 }
 
-/// What one start of a runner asked for.
+/// Back-pressure of one process start of a runner.
 #[derive(Clone, Copy, Debug, Default)]
-struct Asked {
+struct RunnerEntry {
     born: Option<Born>,
-    last: RunnerSignals,
+    last_signals: RunnerSignals,
     backoff: Option<Backoff>,
-    limit: Option<LimitUse>,
-    /// When its limit was over.
-    limit_ended: Option<Millis>,
+    limit: Option<LimitBucket>,
+    /// When its limit ended.
+    limit_ended_at: Option<Millis>,
 }
 
-/// What all runners asked for, as one gateway knows it.
+/// Back-pressure of all runners, as this gateway knows it.
 ///
 /// ```
 /// use bulrushusher_forward::{
-///     BackPressure, BackPressureConfig, Pressure, RateLimit, Runner, RunnerSignals,
+///     BackPressure, BackPressureConfig, BackPressureError, RateLimit, Runner, RunnerSignals,
 /// };
 /// use bulrushusher_time::Millis;
 /// let runner = Runner {
@@ -139,35 +141,36 @@
 /// };
 /// let mut pressure = BackPressure::new(BackPressureConfig::default(), "entry-1".into());
 /// let signals = RunnerSignals { retry_after: Some(Millis(3_000)), ..RunnerSignals::default() };
-/// pressure.hear(&runner, signals, Millis(0));
-/// assert_eq!(pressure.take(&runner, 1, Millis(2_999)), Err(Pressure::RetryAfter));
-/// assert!(pressure.take(&runner, 1, Millis(3_000)).is_ok(), "one finds out whether it is over");
-/// assert_eq!(pressure.take(&runner, 1, Millis(3_001)), Err(Pressure::RetryAfter));
-/// pressure.hear(&runner, RunnerSignals::default(), Millis(3_010));
+/// pressure.record_signals(&runner, signals, Millis(0));
+/// assert_eq!(pressure.acquire(&runner, 1, Millis(2_999)), Err(BackPressureError::RetryAfter));
+/// assert!(pressure.acquire(&runner, 1, Millis(3_000)).is_ok(), "the first one is a probe");
+/// assert_eq!(pressure.acquire(&runner, 1, Millis(3_001)), Err(BackPressureError::RetryAfter));
+/// pressure.record_signals(&runner, RunnerSignals::default(), Millis(3_010));
 ///
 /// let limit = RateLimit::try_from("2").unwrap();
 /// let signals = RunnerSignals { rate_limit: Some(limit), ..RunnerSignals::default() };
-/// pressure.hear(&runner, signals, Millis(4_000));
-/// assert_eq!(pressure.take(&runner, 1, Millis(4_499)), Err(Pressure::RateLimit));
-/// assert!(pressure.take(&runner, 1, Millis(4_500)).is_ok());
+/// pressure.record_signals(&runner, signals, Millis(4_000));
+/// assert_eq!(pressure.acquire(&runner, 1, Millis(4_499)), Err(BackPressureError::RateLimit));
+/// assert!(pressure.acquire(&runner, 1, Millis(4_500)).is_ok());
 /// ```
 #[derive(Clone, Debug)]
 pub struct BackPressure {
     cfg: BackPressureConfig,
+    /// Name of this gateway.
     own: Arc<str>,
-    /// The other gateways, and when they were heard last.
+    /// The other gateways, with the time of their last report.
     gateways: HashMap<Arc<str>, Millis>,
-    /// Other gateways that are announced.
+    /// Number of other gateways that are announced.
     announced: usize,
-    runners: HashMap<RunnerId, Asked>,
-    shares_at: Option<Millis>,
+    runners: HashMap<RunnerId, RunnerEntry>,
+    shares_computed_at: Option<Millis>,
 }
 
-/// How long shares are kept before they are worked out anew.
-const SHARES_KEPT: Millis = Millis(200);
+/// How long shares are kept before they are recomputed.
+const SHARE_REFRESH_INTERVAL: Millis = Millis(200);
 
 impl BackPressure {
-    /// No runner has asked for anything yet.
+    /// Creates the state without any back-pressure.
     pub fn new(cfg: BackPressureConfig, own: Arc<str>) -> BackPressure {
         BackPressure {
             cfg,
@@ -175,67 +178,73 @@
             gateways: HashMap::new(),
             announced: 0,
             runners: HashMap::new(),
-            shares_at: None,
+            shares_computed_at: None,
         }
     }
 
-    /// Another gateway was heard.
-    pub fn note_gateway(&mut self, name: &str, now: Millis) {
+    /// Records a report of another gateway.
+    pub fn record_gateway(&mut self, name: &str, now: Millis) {
         match self.gateways.get_mut(name) {
-            Some(heard_at) => *heard_at = now,
+            Some(reported_at) => *reported_at = now,
             None => {
-                self.forget_gone(now);
+                self.drop_silent_gateways(now);
                 self.gateways.insert(name.into(), now);
-                self.shares_at = None;
+                self.shares_computed_at = None;
             }
         }
     }
 
-    fn forget_gone(&mut self, now: Millis) {
-        let gone_after = self.cfg.gone_after;
-        self.gateways.retain(|_, heard_at| now.since(*heard_at) < gone_after);
+    fn drop_silent_gateways(&mut self, now: Millis) {
+        let gateway_timeout = self.cfg.gateway_timeout;
+        self.gateways.retain(|_, reported_at| now.since(*reported_at) < gateway_timeout);
     }
 
-    /// So many other gateways are announced.
-    pub fn note_announced(&mut self, others: usize) {
+    /// Sets the number of other gateways that are announced.
+    pub fn set_announced(&mut self, others: usize) {
         self.announced = others;
     }
 
-    /// Takes in what an answer of a runner asks for; returns what its answer before asked for.
-    pub fn hear(&mut self, runner: &Runner, signals: RunnerSignals, now: Millis) -> RunnerSignals {
-        let asks_nothing = signals == RunnerSignals::default();
-        if asks_nothing && !self.runners.contains_key(&runner.id) {
+    /// Records the signals of a runner's answer; returns those of its previous answer.
+    pub fn record_signals(
+        &mut self,
+        runner: &Runner,
+        signals: RunnerSignals,
+        now: Millis,
+    ) -> RunnerSignals {
+        let is_empty = signals == RunnerSignals::default();
+        if is_empty && !self.runners.contains_key(&runner.id) {
             return signals;
         }
         let cfg = self.cfg;
-        let Some(asked) = self.of_start(&runner.id, runner.born) else { return signals };
-        let before = std::mem::replace(&mut asked.last, signals);
-        asked.hear_retry_after(signals.retry_after, &cfg, now);
-        self.hear_limit(&runner.id, signals.rate_limit, now, now);
+        let Some(entry) = self.entry_for_start(&runner.id, runner.born) else { return signals };
+        let before = std::mem::replace(&mut entry.last_signals, signals);
+        entry.record_retry_after(signals.retry_after, &cfg, now);
+        self.record_limit(&runner.id, signals.rate_limit, now, now);
         before
     }
 
-    /// Takes in what another gateway tells of limits.
-    pub fn hear_reports(&mut self, reports: &[LimitReport], now: Millis) {
+    /// Merges limits reported by another gateway.
+    pub fn merge_reports(&mut self, reports: &[LimitReport], now: Millis) {
         for report in reports {
-            if self.of_start(&report.runner, report.born).is_some() {
-                self.hear_limit(&report.runner, report.limit, now.since(report.age), now);
+            if self.entry_for_start(&report.runner, report.born).is_some() {
+                self.record_limit(&report.runner, report.limit, now.since(report.age), now);
             }
         }
     }
 
-    /// What the other gateways are told of limits.
+    /// The limits to report to the other gateways.
     pub fn reports(&self, now: Millis) -> Vec<LimitReport> {
-        let report = |(runner, asked): (&RunnerId, &Asked)| {
-            let ended = asked.limit_ended.filter(|at| now.since(*at) < self.cfg.end_told);
-            let (limit, at) = match (asked.limit, ended) {
-                (Some(named), _) => (Some(named.limit), named.named_at),
+        let report = |(runner, entry): (&RunnerId, &RunnerEntry)| {
+            let ended =
+                entry.limit_ended_at.filter(|at| now.since(*at) < self.cfg.limit_end_report_time);
+            let (limit, at) = match (entry.limit, ended) {
+                (Some(signalled), _) => (Some(signalled.limit), signalled.signalled_at),
                 (None, Some(at)) => (None, at),
                 (None, None) => return None,
             };
             Some(LimitReport {
                 runner: runner.clone(),
-                born: asked.born,
+                born: entry.born,
                 limit,
                 age: now.since(at),
             })
@@ -245,151 +254,167 @@
         reports
     }
 
-    /// True when a request may be sent to the runner. `draw` is random in `0.0..1.0`: it chooses among the
-    /// gateways which finds out whether a limit still holds that nobody has heard of for some time.
+    /// True if a request may be sent to the runner. `draw` is a random number in `0.0..1.0`: it
+    /// selects the gateway that probes a limit for which no gateway has seen a signal for some
+    /// time.
     pub fn is_open(&self, runner: &Runner, draw: f64, now: Millis) -> bool {
-        let Some(asked) = self.asked(runner) else { return true };
-        let backs_off = asked.backoff.is_some_and(|backoff| backoff.holds(&self.cfg, now));
-        let is_mine = draw * ((self.gateways.len() + 1) as f64) < 1.0;
-        let has_room = asked
-            .limit
-            .is_none_or(|limit| limit.is_open(now) || is_mine && may_try(&limit, &self.cfg, now));
-        !backs_off && has_room
+        let Some(entry) = self.entry(runner) else { return true };
+        let is_backing_off = entry.backoff.is_some_and(|backoff| backoff.is_active(&self.cfg, now));
+        let probes_here = draw * ((self.gateways.len() + 1) as f64) < 1.0;
+        let limit_allows = entry.limit.is_none_or(|limit| {
+            limit.is_open(now) || probes_here && may_probe(&limit, &self.cfg, now)
+        });
+        !is_backing_off && limit_allows
     }
 
-    /// Counts `requests` that are about to be sent to the runner.
+    /// Acquires permits for `requests` that are about to be sent to the runner.
     ///
     /// # Errors
-    /// What the runner asked for when they may not be sent; nothing is counted then.
-    pub fn take(&mut self, runner: &Runner, requests: u32, now: Millis) -> Result<(), Pressure> {
+    /// The back-pressure that forbids the requests; no permit is taken then.
+    pub fn acquire(
+        &mut self,
+        runner: &Runner,
+        requests: u32,
+        now: Millis,
+    ) -> Result<(), BackPressureError> {
         let cfg = self.cfg;
-        let Some(asked) = self.asked_mut(runner) else { return Ok(()) };
-        if asked.backoff.is_some_and(|backoff| backoff.holds(&cfg, now)) {
-            return Err(Pressure::RetryAfter);
+        let Some(entry) = self.entry_mut(runner) else { return Ok(()) };
+        if entry.backoff.is_some_and(|backoff| backoff.is_active(&cfg, now)) {
+            return Err(BackPressureError::RetryAfter);
         }
-        if let Some(limit) = &mut asked.limit {
+        if let Some(limit) = &mut entry.limit {
             if !limit.is_open(now) {
-                if !may_try(limit, &cfg, now) {
-                    return Err(Pressure::RateLimit);
+                if !may_probe(limit, &cfg, now) {
+                    return Err(BackPressureError::RateLimit);
                 }
-                limit.tried_at = Some(now);
+                limit.probed_at = Some(now);
             }
-            limit.count(f64::from(requests), now);
+            limit.charge(f64::from(requests), now);
         }
-        if let Some(backoff) = &mut asked.backoff {
-            backoff.tried_at = Some(now);
+        if let Some(backoff) = &mut entry.backoff {
+            backoff.probed_at = Some(now);
         }
         Ok(())
     }
 
-    /// Whether the runner wants nothing from this gateway, whatever was counted for it before.
+    /// Checks the runner's backoff for requests that already have permits.
     ///
     /// # Errors
-    /// [`Pressure::RetryAfter`] when it does not.
-    pub fn check_backoff(&self, runner: &Runner, now: Millis) -> Result<(), Pressure> {
-        let backoff = self.asked(runner).and_then(|asked| asked.backoff);
+    /// [`BackPressureError::RetryAfter`] while the backoff lasts.
+    pub fn check_backoff(&self, runner: &Runner, now: Millis) -> Result<(), BackPressureError> {
+        let backoff = self.entry(runner).and_then(|entry| entry.backoff);
         match backoff.is_some_and(|backoff| now < backoff.until) {
-            true => Err(Pressure::RetryAfter),
+            true => Err(BackPressureError::RetryAfter),
             false => Ok(()),
         }
     }
 
-    /// Counts requests that are sent whatever the runner asked for.
-    pub fn owe(&mut self, runner: &Runner, requests: u32, now: Millis) {
-        if let Some(limit) = self.asked_mut(runner).and_then(|asked| asked.limit.as_mut()) {
-            limit.count(f64::from(requests), now);
+    /// Charges requests that are sent regardless of back-pressure.
+    pub fn charge(&mut self, runner: &Runner, requests: u32, now: Millis) {
+        if let Some(limit) = self.entry_mut(runner).and_then(|entry| entry.limit.as_mut()) {
+            limit.charge(f64::from(requests), now);
         }
     }
 
-    /// Requests that were counted are not sent after all.
-    pub fn give_back(&mut self, runner: &Runner, requests: u32, now: Millis) {
-        if let Some(limit) = self.asked_mut(runner).and_then(|asked| asked.limit.as_mut()) {
-            limit.count(-f64::from(requests), now);
+    /// Returns permits of requests that were not sent after all.
+    pub fn release(&mut self, runner: &Runner, requests: u32, now: Millis) {
+        if let Some(limit) = self.entry_mut(runner).and_then(|entry| entry.limit.as_mut()) {
+            limit.charge(-f64::from(requests), now);
         }
     }
 
-    /// Time until this gateway may send to the runner; `None` when only others may.
-    pub fn opens_in(&self, runner: &Runner, now: Millis) -> Option<Millis> {
-        let Some(asked) = self.asked(runner) else { return Some(Millis(0)) };
-        let backoff = asked.backoff.map_or(Millis(0), |backoff| backoff.left(&self.cfg, now));
-        match asked.limit {
+    /// Time until this gateway may send to the runner; `None` if other gateways share the whole
+    /// limit.
+    pub fn time_until_open(&self, runner: &Runner, now: Millis) -> Option<Millis> {
+        let Some(entry) = self.entry(runner) else { return Some(Millis(0)) };
+        let backoff = entry.backoff.map_or(Millis(0), |backoff| backoff.remaining(&self.cfg, now));
+        match entry.limit {
             None => Some(backoff),
-            Some(limit) => limit.opens_in(now).map(|opens_in| opens_in.max(backoff)),
+            Some(limit) => limit.time_until_open(now).map(|wait| wait.max(backoff)),
         }
     }
 
-    /// Brings up to date what changes with time and with the gateways that are heard.
+    /// Recomputes shares, and drops silent gateways and expired entries.
     pub fn refresh(&mut self, now: Millis) {
-        if self.runners.is_empty() || self.shares_at.is_some_and(|at| now.since(at) < SHARES_KEPT) {
+        if self.runners.is_empty()
+            || self.shares_computed_at.is_some_and(|at| now.since(at) < SHARE_REFRESH_INTERVAL)
+        {
             return;
         }
-        self.shares_at = Some(now);
+        self.shares_computed_at = Some(now);
         let cfg = self.cfg;
-        self.forget_gone(now);
-        self.runners.retain(|_, asked| !asked.is_over(&cfg, now));
-        let heard: Vec<&str> = self.gateways.keys().map(|name| &**name).collect();
-        let sharers = Sharers { own: &self.own, heard: &heard, all: self.announced + 1 };
-        for (id, asked) in &mut self.runners {
-            if let Some(limit) = &mut asked.limit {
+        self.drop_silent_gateways(now);
+        self.runners.retain(|_, entry| !entry.is_expired(&cfg, now));
+        let reporting: Vec<&str> = self.gateways.keys().map(|name| &**name).collect();
+        let sharers = Sharers { own: &self.own, reporting: &reporting, all: self.announced + 1 };
+        for (id, entry) in &mut self.runners {
+            if let Some(limit) = &mut entry.limit {
                 limit.set_share(Share::of(limit.limit, id, &sharers), now);
             }
         }
     }
 
-    /// True while no runner asks for anything.
+    /// True if no runner signals back-pressure.
     pub fn is_empty(&self) -> bool {
         self.runners.is_empty()
     }
 
-    /// How many runners asked for something.
-    pub fn counts(&self, now: Millis) -> PressureCounts {
-        let limited = self.runners.values().filter(|asked| asked.limit.is_some()).count();
-        let backs_off = |asked: &&Asked| asked.backoff.is_some_and(|backoff| now < backoff.until);
-        PressureCounts { limited, backing_off: self.runners.values().filter(backs_off).count() }
+    /// Number of runners under back-pressure.
+    pub fn counts(&self, now: Millis) -> BackPressureCounts {
+        let limited = self.runners.values().filter(|entry| entry.limit.is_some()).count();
+        let is_backing_off =
+            |entry: &&RunnerEntry| entry.backoff.is_some_and(|backoff| now < backoff.until);
+        BackPressureCounts {
+            limited,
+            backing_off: self.runners.values().filter(is_backing_off).count(),
+        }
     }
 
-    fn asked(&self, runner: &Runner) -> Option<&Asked> {
-        self.runners.get(&runner.id).filter(|asked| asked.born == runner.born)
+    fn entry(&self, runner: &Runner) -> Option<&RunnerEntry> {
+        self.runners.get(&runner.id).filter(|entry| entry.born == runner.born)
     }
 
-    fn asked_mut(&mut self, runner: &Runner) -> Option<&mut Asked> {
-        self.runners.get_mut(&runner.id).filter(|asked| asked.born == runner.born)
+    fn entry_mut(&mut self, runner: &Runner) -> Option<&mut RunnerEntry> {
+        self.runners.get_mut(&runner.id).filter(|entry| entry.born == runner.born)
     }
 
-    /// What that start of a runner asked for; `None` when a later start is known. What an earlier one asked
-    /// for is forgotten.
-    fn of_start(&mut self, id: &RunnerId, born: Option<Born>) -> Option<&mut Asked> {
-        let asked = self.runners.entry(id.clone()).or_insert(Asked { born, ..Asked::default() });
-        if asked.born > born {
+    /// The entry for this process start of a runner, replacing that of an earlier start; `None` if
+    /// a later start is known.
+    fn entry_for_start(&mut self, id: &RunnerId, born: Option<Born>) -> Option<&mut RunnerEntry> {
+        let entry = self
+            .runners
+            .entry(id.clone())
+            .or_insert(RunnerEntry { born, ..RunnerEntry::default() });
+        if entry.born > born {
             return None;
         }
-        if asked.born < born {
-            *asked = Asked { born, ..Asked::default() };
+        if entry.born < born {
+            *entry = RunnerEntry { born, ..RunnerEntry::default() };
         }
-        Some(asked)
+        Some(entry)
     }
 
-    /// A runner named a limit at that time, or none.
-    fn hear_limit(&mut self, id: &RunnerId, limit: Option<RateLimit>, at: Millis, now: Millis) {
-        let lingers = self.cfg.limit_lingers;
-        let Some(asked) = self.runners.get_mut(id) else { return };
-        match (limit, &mut asked.limit) {
-            (Some(named), Some(known)) if at >= known.named_at => {
-                known.named_at = at;
-                if named != known.limit {
-                    known.limit = named;
-                    self.shares_at = None;
+    /// Records at `now` that the runner signalled this limit, or none, at `at`.
+    fn record_limit(&mut self, id: &RunnerId, limit: Option<RateLimit>, at: Millis, now: Millis) {
+        let lingers = self.cfg.limit_linger;
+        let Some(entry) = self.runners.get_mut(id) else { return };
+        match (limit, &mut entry.limit) {
+            (Some(signalled), Some(known)) if at >= known.signalled_at => {
+                known.signalled_at = at;
+                if signalled != known.limit {
+                    known.limit = signalled;
+                    self.shares_computed_at = None;
                 }
             }
-            (Some(named), None) if asked.limit_ended.is_none_or(|ended| at > ended) => {
-                let none = Share::none();
-                asked.limit = Some(LimitUse::new(named, none, at, now));
-                asked.limit_ended = None;
-                self.shares_at = None;
+            (Some(signalled), None) if entry.limit_ended_at.is_none_or(|ended| at > ended) => {
+                let no_share = Share::none();
+                entry.limit = Some(LimitBucket::new(signalled, no_share, at, now));
+                entry.limit_ended_at = None;
+                self.shares_computed_at = None;
             }
-            (None, Some(known)) if at >= known.named_at.plus(lingers) => {
-                asked.limit = None;
-                asked.limit_ended = Some(at);
+            (None, Some(known)) if at >= known.signalled_at.plus(lingers) => {
+                entry.limit = None;
+                entry.limit_ended_at = Some(at);
             }
             _ => {}
         }
@@ -397,14 +422,14 @@
     }
 }
 
-/// True when a request may find out whether a limit still holds.
-fn may_try(limit: &LimitUse, cfg: &BackPressureConfig, now: Millis) -> bool {
-    let is_stale = now.since(limit.named_at) >= cfg.limit_stale;
-    is_stale && limit.tried_at.is_none_or(|at| now.since(at) >= cfg.trial)
+/// True if a request may probe whether the limit still applies.
+fn may_probe(limit: &LimitBucket, cfg: &BackPressureConfig, now: Millis) -> bool {
+    let is_stale = now.since(limit.signalled_at) >= cfg.limit_stale_after;
+    is_stale && limit.probed_at.is_none_or(|at| now.since(at) >= cfg.probe_timeout)
 }
 
-impl Asked {
-    fn hear_retry_after(
+impl RunnerEntry {
+    fn record_retry_after(
         &mut self,
         retry_after: Option<Millis>,
         cfg: &BackPressureConfig,
@@ -412,34 +437,35 @@
     ) {
         match (retry_after, self.backoff) {
             (Some(length), before) => {
-                let until = now.plus(length.min(cfg.longest_backoff));
+                let until = now.plus(length.min(cfg.max_backoff));
                 let until = before.map_or(until, |before| before.until.max(until));
-                self.backoff = Some(Backoff { until, tried_at: None });
+                self.backoff = Some(Backoff { until, probed_at: None });
             }
             (None, Some(before)) if now >= before.until => self.backoff = None,
             (None, _) => {}
         }
     }
 
-    /// True when nothing is left to remember: a runner that is gone answers no more, and its entry may yet
-    /// come back.
-    fn is_over(&self, cfg: &BackPressureConfig, now: Millis) -> bool {
-        let is_old = |at: Millis| now.since(at) >= cfg.remembered;
-        let end_is_told = self.limit_ended.is_none_or(|at| now.since(at) >= cfg.end_told);
+    /// True if the entry can be dropped. A runner that is gone sends no more answers, and its list
+    /// entry may yet come back.
+    fn is_expired(&self, cfg: &BackPressureConfig, now: Millis) -> bool {
+        let is_old = |at: Millis| now.since(at) >= cfg.retention;
+        let end_was_reported =
+            self.limit_ended_at.is_none_or(|at| now.since(at) >= cfg.limit_end_report_time);
         let backoff_is_over = self.backoff.is_none_or(|backoff| is_old(backoff.until));
-        let limit_is_over = self.limit.is_none_or(|limit| is_old(limit.named_at));
-        end_is_told && backoff_is_over && limit_is_over
+        let limit_is_over = self.limit.is_none_or(|limit| is_old(limit.signalled_at));
+        end_was_reported && backoff_is_over && limit_is_over
     }
 }
 
 impl Backoff {
-    /// After it one request goes first.
-    fn holds(&self, cfg: &BackPressureConfig, now: Millis) -> bool {
-        self.left(cfg, now) > Millis(0)
+    /// True while requests are held back, also by the first request after the backoff.
+    fn is_active(&self, cfg: &BackPressureConfig, now: Millis) -> bool {
+        self.remaining(cfg, now) > Millis(0)
     }
 
-    fn left(&self, cfg: &BackPressureConfig, now: Millis) -> Millis {
-        let tried_until = self.tried_at.map_or(Millis(0), |at| at.plus(cfg.trial));
-        self.until.max(tried_until).since(now)
+    fn remaining(&self, cfg: &BackPressureConfig, now: Millis) -> Millis {
+        let probe_until = self.probed_at.map_or(Millis(0), |at| at.plus(cfg.probe_timeout));
+        self.until.max(probe_until).since(now)
     }
 }
--- a/crates/bulrushusher_forward/src/choose.rs
+++ b/crates/bulrushusher_forward/src/choose.rs
@@ -1,127 +1,131 @@
-//! Which runner gets a request.
+//! Selection of the runner for a request.
 
 use std::collections::BTreeSet;
 
 use bulrushusher_time::Millis;
 use bulrushusher_world::{DataCentreName, RunnerId, ServiceName};
 
-use crate::{Members, PressureView, Runner, RunnerLoads, Runs, Stage};
+use crate::{BackPressureView, Members, Runner, RunnerLoads, Runs, Stage};
 
-/// What a choice looks at.
+/// Inputs to the selection of a runner.
 #[derive(Clone, Copy, Debug)]
-pub struct Candidate<'a> {
-    /// Runners known.
+pub struct SelectionContext<'a> {
+    /// All known runners.
     pub members: &'a Members,
-    /// What this process has there.
+    /// Load and call results per runner, as this gateway sees them.
     pub loads: &'a RunnerLoads,
-    /// The service to serve.
+    /// The service that must handle the request.
     pub service: &'a ServiceName,
-    /// Runners that change their stage now, as peers tell.
+    /// Runs and peer reports; used to exclude runners that are changing their stage, and to skip
+    /// runners that peers cannot reach.
     pub runs: Option<&'a Runs>,
-    /// Runners that fail too many runs; they are passed over while there are others.
+    /// Runners with too high a failure rate; they are skipped while there are alternatives.
     pub failing: Option<&'a BTreeSet<RunnerId>>,
-    /// What runners asked for. Unlike what is guessed of a runner, it binds where there are no others.
-    pub pressure: Option<PressureView<'a>>,
-    /// The present time.
+    /// Back-pressure that runners have signalled. It is binding even where no other runner is left,
+    /// unlike estimates of load and health.
+    pub pressure: Option<BackPressureView<'a>>,
+    /// The current time.
     pub now: Millis,
 }
 
-impl<'a> Candidate<'a> {
-    /// Runners of the service that take new work from this gateway now.
+impl<'a> SelectionContext<'a> {
+    /// Runners of the service that accept new work from this gateway now.
     fn open(self) -> impl Iterator<Item = &'a Runner> {
         let is_open = move |r: &&Runner| self.pressure.is_none_or(|it| it.is_open(r, self.now));
         self.members.usable(self.service, self.now).filter(is_open)
     }
 }
 
-/// A choice for a plain call.
+/// Parameters of a selection for a plain call.
 #[derive(Clone, Copy, Debug)]
-pub struct PlainPick<'a> {
-    /// Runners that had the request before.
+pub struct PlainSelection<'a> {
+    /// Runners that the request was already sent to.
     pub tried: &'a [RunnerId],
-    /// The data centre of this process.
-    pub near: &'a DataCentreName,
-    /// A random draw in `0.0..1.0` that breaks ties.
+    /// The data centre of this gateway.
+    pub data_centre: &'a DataCentreName,
+    /// A random number in `0.0..1.0` that breaks ties.
     pub draw: f64,
 }
 
-/// Runners a process cannot tell apart by load are taken by the draw; a near one counts as this
-/// much quicker, which keeps answers inside the data centre while loads are even.
-const NEAR_BONUS: f64 = 0.95;
+/// Cost factor for runners in the gateway's own data centre. It keeps traffic local while loads are
+/// about even; runners with equal load are chosen by the random number.
+const LOCAL_COST_FACTOR: f64 = 0.95;
 
-/// The runner with the shortest expected time for a plain call.
-pub fn pick_for_call(cx: Candidate<'_>, pick: PlainPick<'_>) -> Option<Runner> {
-    let fresh = |r: &&Runner| !pick.tried.contains(&r.id);
-    let usable: Vec<&Runner> = cx.open().filter(fresh).collect();
-    let from = with_room_if_any(cx, awake_if_any(cx, usable));
-    let quickest_ms = quickest_of_pool(cx, &from);
+/// Selects the runner with the lowest expected response time for a plain call.
+pub fn pick_for_call(cx: SelectionContext<'_>, selection: PlainSelection<'_>) -> Option<Runner> {
+    let untried = |r: &&Runner| !selection.tried.contains(&r.id);
+    let usable: Vec<&Runner> = cx.open().filter(untried).collect();
+    let pool = without_full(cx, without_unreachable_or_failing(cx, usable));
+    let fastest_ms = fastest_mean_ms(cx, &pool);
     let cost = |r: &Runner| {
-        let near = if r.data_centre == *pick.near { NEAR_BONUS } else { 1.0 };
-        cx.loads.get(&r.id).expected_ms(r.slots, quickest_ms) * near
+        let locality =
+            if r.data_centre == *selection.data_centre { LOCAL_COST_FACTOR } else { 1.0 };
+        cx.loads.get(&r.id).expected_ms(r.slots, fastest_ms) * locality
     };
-    lowest(&from, pick.draw, cost).cloned()
+    lowest_cost(&pool, selection.draw, cost).cloned()
 }
 
-/// Without the runners that refused a moment ago, unless there are no others. A refusal costs one of the
-/// repeats that all gateways share.
-fn with_room_if_any<'a>(cx: Candidate<'_>, from: Vec<&'a Runner>) -> Vec<&'a Runner> {
-    those_if_any(from, |r| !cx.loads.is_full(&r.id, cx.now))
+/// Drops runners that refused a call or hold recently, unless no others are left. Each refusal
+/// costs one retry of the budget that all gateways share.
+fn without_full<'a>(cx: SelectionContext<'_>, pool: Vec<&'a Runner>) -> Vec<&'a Runner> {
+    matching_or_all(pool, |r| !cx.loads.is_full(&r.id, cx.now))
 }
 
-/// Those for which `holds`, or all where it holds for none.
-fn those_if_any(from: Vec<&Runner>, holds: impl Fn(&Runner) -> bool) -> Vec<&Runner> {
-    let those: Vec<&Runner> = from.iter().copied().filter(|r| holds(r)).collect();
-    if those.is_empty() { from } else { those }
+/// The runners that match `predicate`, or all of them if none does.
+fn matching_or_all(pool: Vec<&Runner>, predicate: impl Fn(&Runner) -> bool) -> Vec<&Runner> {
+    let matching: Vec<&Runner> = pool.iter().copied().filter(|r| predicate(r)).collect();
+    if matching.is_empty() { pool } else { matching }
 }
 
-/// Mean time of the answers of the quickest that has answered, in ms; 0 when none has. A runner that has
-/// just started is taken to be as quick: it is tried soon, also while little is asked for, and does not
-/// get a burst alone.
-fn quickest_of_pool(cx: Candidate<'_>, pool: &[&Runner]) -> f64 {
+/// Mean response time of the fastest runner that has answered, in ms; 0 if none has. A runner that
+/// has just started is assumed to be as fast: it then gets calls soon even under low load, and does
+/// not attract a whole burst.
+fn fastest_mean_ms(cx: SelectionContext<'_>, pool: &[&Runner]) -> f64 {
     let means = pool.iter().filter_map(|r| cx.loads.get(&r.id).mean_ms());
     means.min_by(f64::total_cmp).unwrap_or(0.0)
 }
 
-/// The prefill runner with the fewest prompt tokens waiting, those that others have `elsewhere` in
-/// this process's sight included; near the decode runner at a tie.
+/// Selects the prefill runner with the fewest queued prompt tokens, including the tokens queued by
+/// other gateways (`queued_by_peers`). Prefers the data centre of the decode runner.
 pub fn pick_for_prefill(
-    cx: Candidate<'_>,
+    cx: SelectionContext<'_>,
     near: &DataCentreName,
     tried: &[RunnerId],
     draw: f64,
-    elsewhere: impl Fn(&RunnerId) -> u64,
+    queued_by_peers: impl Fn(&RunnerId) -> u64,
 ) -> Option<Runner> {
-    let from = staged(cx, Stage::Prefill, tried);
+    let pool = available_of_stage(cx, Stage::Prefill, tried);
     let cost = |r: &Runner| {
-        let waiting = (cx.loads.get(&r.id).prompt_tokens + elsewhere(&r.id)) as f64;
-        let far = if r.data_centre == *near { 0.0 } else { FAR_PREFILL_TOKENS };
-        waiting + far
+        let queued = (cx.loads.get(&r.id).queued_prompt_tokens + queued_by_peers(&r.id)) as f64;
+        let distance = if r.data_centre == *near { 0.0 } else { REMOTE_PREFILL_COST };
+        queued + distance
     };
-    lowest(&from, draw, cost).cloned()
+    lowest_cost(&pool, draw, cost).cloned()
 }
 
-/// A transfer between data centres takes twice as long and is priced higher; one prompt of some
-/// hundred tokens less in a queue does not make up for it.
-const FAR_PREFILL_TOKENS: f64 = 500.0;
+/// Cost, in prompt tokens, of a prefill runner in another data centre: the KV transfer takes twice
+/// as long there and is priced higher, which a queue shorter by a few hundred tokens does not make
+/// up for.
+const REMOTE_PREFILL_COST: f64 = 500.0;
 
-/// Decode runners in the order in which to ask them for memory: by the `peak` of what they would
-/// use, which is `None` for one without room. Those that refused a moment ago are left out.
+/// Ranks decode runners for a memory hold by `peak`, the forecast peak of their memory use with the
+/// run; `None` marks a runner without room. Runners that refused recently are left out.
 pub fn rank_for_decode(
-    cx: Candidate<'_>,
+    cx: SelectionContext<'_>,
     tried: &[RunnerId],
     draw: f64,
     peak: impl Fn(&Runner) -> Option<f64>,
 ) -> Vec<Runner> {
-    let mut from = staged(cx, Stage::Decode, tried);
-    from.retain(|r| !cx.loads.is_full(&r.id, cx.now));
-    from.sort_by(|a, b| a.id.cmp(&b.id));
-    rotate(&mut from, draw);
-    let with_room = from.into_iter().filter_map(|r| Some((r, peak(r)?)));
+    let mut pool = available_of_stage(cx, Stage::Decode, tried);
+    pool.retain(|r| !cx.loads.is_full(&r.id, cx.now));
+    pool.sort_by(|a, b| a.id.cmp(&b.id));
+    rotate(&mut pool, draw);
+    let with_room = pool.into_iter().filter_map(|r| Some((r, peak(r)?)));
     let mut with_room: Vec<(&Runner, f64)> = with_room.collect();
-    // Runners were rotated by the draw: the better of the first two goes first, then the others by
-    // what they would use. Gateways that place runs in the same milliseconds meet at one runner
-    // seldom, as each looks at two of its own.
-    let rest = with_room.split_off(with_room.len().min(CHOICES));
+    // The order is random at this point: the better of the first two runners goes first, followed
+    // by the others by peak. As each gateway compares its own two runners, gateways that place runs
+    // within the same milliseconds rarely choose the same one.
+    let rest = with_room.split_off(with_room.len().min(COMPARED_FIRST));
     let by_peak = |a: &(&Runner, f64), b: &(&Runner, f64)| a.1.total_cmp(&b.1);
     with_room.sort_by(by_peak);
     let mut rest: Vec<(&Runner, f64)> = rest;
@@ -129,31 +133,43 @@
     with_room.into_iter().chain(rest).map(|(r, _)| r.clone()).collect()
 }
 
-/// Runners looked at before all others: the power of two choices.
-const CHOICES: usize = 2;
+/// Runners compared ahead of all others (power of two choices).
+const COMPARED_FIRST: usize = 2;
 
-fn staged<'a>(cx: Candidate<'a>, stage: Stage, tried: &[RunnerId]) -> Vec<&'a Runner> {
-    let changes = |r: &Runner| cx.runs.is_some_and(|runs| runs.is_changing(&r.id, cx.now));
+fn available_of_stage<'a>(
+    cx: SelectionContext<'a>,
+    stage: Stage,
+    tried: &[RunnerId],
+) -> Vec<&'a Runner> {
+    let is_changing = |r: &Runner| cx.runs.is_some_and(|runs| runs.is_changing(&r.id, cx.now));
     let of_stage = cx.open().filter(|r| r.stage == Some(stage));
-    let of_stage = of_stage.filter(|r| !changes(r));
-    awake_if_any(cx, of_stage.filter(|r| !tried.contains(&r.id)).collect())
+    let of_stage = of_stage.filter(|r| !is_changing(r));
+    without_unreachable_or_failing(cx, of_stage.filter(|r| !tried.contains(&r.id)).collect())
 }
 
-/// Without the runners that were unreachable a moment ago or fail too many runs, unless there are no
-/// others.
-fn awake_if_any<'a>(cx: Candidate<'_>, usable: Vec<&'a Runner>) -> Vec<&'a Runner> {
-    let fails = |r: &Runner| cx.failing.is_some_and(|failing| failing.contains(&r.id));
-    let silent = |r: &Runner| cx.runs.is_some_and(|runs| runs.is_silent_at_peers(&r.id, cx.now));
-    let paused = |r: &Runner| cx.loads.is_paused(&r.id, cx.now) || silent(r);
-    those_if_any(usable, |r| !paused(r) && !fails(r))
+/// Drops runners that were unreachable recently or have too high a failure rate, unless no others
+/// are left.
+fn without_unreachable_or_failing<'a>(
+    cx: SelectionContext<'_>,
+    usable: Vec<&'a Runner>,
+) -> Vec<&'a Runner> {
+    let is_failing = |r: &Runner| cx.failing.is_some_and(|failing| failing.contains(&r.id));
+    let is_unreachable =
+        |r: &Runner| cx.runs.is_some_and(|runs| runs.is_silent_at_peers(&r.id, cx.now));
+    let is_paused = |r: &Runner| cx.loads.is_paused(&r.id, cx.now) || is_unreachable(r);
+    matching_or_all(usable, |r| !is_paused(r) && !is_failing(r))
 }
 
-fn lowest<'a>(from: &[&'a Runner], draw: f64, cost: impl Fn(&Runner) -> f64) -> Option<&'a Runner> {
-    let mut from = from.to_vec();
-    from.sort_by(|a, b| a.id.cmp(&b.id));
-    rotate(&mut from, draw);
+fn lowest_cost<'a>(
+    pool: &[&'a Runner],
+    draw: f64,
+    cost: impl Fn(&Runner) -> f64,
+) -> Option<&'a Runner> {
+    let mut pool = pool.to_vec();
+    pool.sort_by(|a, b| a.id.cmp(&b.id));
+    rotate(&mut pool, draw);
     let mut best: Option<(&Runner, f64)> = None;
-    for runner in from {
+    for runner in pool {
         let cost = cost(runner);
         if best.is_none_or(|(_, least)| cost < least) {
             best = Some((runner, cost));
@@ -162,9 +178,9 @@
     best.map(|(runner, _)| runner)
 }
 
-fn rotate(from: &mut [&Runner], draw: f64) {
-    if !from.is_empty() {
-        let by = (draw * from.len() as f64) as usize % from.len();
-        from.rotate_left(by);
+fn rotate(pool: &mut [&Runner], draw: f64) {
+    if !pool.is_empty() {
+        let by = (draw * pool.len() as f64) as usize % pool.len();
+        pool.rotate_left(by);
     }
 }
--- a/crates/bulrushusher_forward/src/events.rs
+++ b/crates/bulrushusher_forward/src/events.rs
@@ -1,18 +1,18 @@
-//! Cuts a stream of events (`text/event-stream`) at the ends of events.
+//! Splits an event stream (`text/event-stream`) at event boundaries.
 
 use bytes::{Bytes, BytesMut};
 
-/// Whole events, and the identity of the last one.
+/// Complete events and the id of the last one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct WholeEvents {
-    /// Their bytes, unchanged.
+pub struct CompleteEvents {
+    /// The bytes of the events, unchanged.
     pub bytes: Bytes,
-    /// The last identity among them.
+    /// The last event id among them.
     pub last_id: Option<u64>,
 }
 
-/// Holds back the beginning of an event until its end has come, so that a run that breaks off can
-/// be followed by another one without a torn event in between.
+/// Buffers a partial event until its end arrives, so that the stream of a failed run can be
+/// continued by another run without a truncated event in between.
 ///
 /// ```
 /// use bulrushusher_forward::EventSplitter;
@@ -29,19 +29,19 @@
 }
 
 impl EventSplitter {
-    /// Takes in bytes; returns the events that are whole now.
-    pub fn push(&mut self, bytes: &[u8]) -> WholeEvents {
+    /// Appends received bytes; returns the events that are now complete.
+    pub fn push(&mut self, bytes: &[u8]) -> CompleteEvents {
         let overlap = self.partial.len().saturating_sub(3);
         self.partial.extend_from_slice(bytes);
         let Some(end) = last_event_end(&self.partial[overlap..]) else {
-            return WholeEvents::default();
+            return CompleteEvents::default();
         };
         let whole = self.partial.split_to(overlap + end).freeze();
         let last_id = last_id(&whole);
-        WholeEvents { bytes: whole, last_id }
+        CompleteEvents { bytes: whole, last_id }
     }
 
-    /// What came after the last whole event.
+    /// Bytes received after the last complete event.
     pub fn rest(&self) -> &[u8] {
         &self.partial
     }
--- a/crates/bulrushusher_forward/src/health.rs
+++ b/crates/bulrushusher_forward/src/health.rs
@@ -1,9 +1,9 @@
-//! Which runners fail runs that others would serve, judged by live traffic.
+//! Passive health checks: detects runners that fail runs which other runners would complete.
 //!
-//! A runner's own health check may be good while half of its runs fail. Each gateway counts how runs
-//! ended, with older ends fading, and tells its peers of the runners that fail. A runner that fails
-//! a good part of its runs gets none while others can take them; as its failures fade it is tried
-//! again, by a run or two.
+//! A runner's own health check may pass while half of its runs fail. Each gateway counts the
+//! outcomes of runs with exponential decay and reports the failing runners to its peers. A runner
+//! with a high failure rate gets no runs while others can take them. As its failures decay it is
+//! tried again with one or two runs.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -11,46 +11,47 @@
 use bulrushusher_world::RunnerId;
 use serde::{Deserialize, Serialize};
 
-/// How failures are judged.
+/// Thresholds of the failure detection.
 #[derive(Clone, Copy, Debug)]
 pub struct HealthConfig {
-    /// Time in which an end counts half.
+    /// Half-life of a recorded outcome.
     pub half_life: Millis,
-    /// Fewest failures that speak against a runner.
-    pub least_failures: f64,
-    /// Least share of its runs.
-    pub least_share: f64,
-    /// Most failures that are remembered: they bound the time until a runner is tried again.
-    pub most_failures: f64,
-    /// Largest share of the runners that is passed over; where more fail, it is not the runners.
-    pub most_passed_over: f64,
+    /// Minimum number of failures for a runner to be considered failing.
+    pub min_failures: f64,
+    /// Minimum share of failures among its runs.
+    pub min_failure_share: f64,
+    /// Maximum number of failures that are kept; limits the time until a runner is tried again.
+    pub max_failures: f64,
+    /// Maximum share of runners that is excluded. If more are failing, the cause is not the
+    /// runners.
+    pub max_excluded_share: f64,
 }
 
 impl Default for HealthConfig {
-    /// Two failures in some seconds, in a quarter of the runs: a runner that loses one run in
-    /// twenty keeps its work, one that loses half is found by its second failure. Four remembered
-    /// failures fade to one and a half in nine seconds.
+    /// Two failures within seconds, in a quarter of the runs: a runner that fails one run in twenty
+    /// keeps its work, one that fails half is detected at its second failure. Four failures decay
+    /// to one and a half in nine seconds.
     fn default() -> HealthConfig {
         HealthConfig {
             half_life: Millis(6_000),
-            least_failures: 1.5,
-            least_share: 0.25,
-            most_failures: 4.0,
-            most_passed_over: 0.34,
+            min_failures: 1.5,
+            min_failure_share: 0.25,
+            max_failures: 4.0,
+            max_excluded_share: 0.34,
         }
     }
 }
 
-/// Ends of runs at one runner, faded, as gateways tell each other.
+/// Decayed outcome counts of one runner, as reported between gateways.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunCounts {
     /// The runner.
     #[serde(rename = "r")]
     pub runner: RunnerId,
-    /// Runs that ended well.
+    /// Runs that succeeded.
     #[serde(rename = "g")]
     pub good: f64,
-    /// Runs that failed, broke off or stayed silent.
+    /// Runs that failed, broke off or timed out.
     #[serde(rename = "b")]
     pub bad: f64,
 }
@@ -62,16 +63,16 @@
     at: Millis,
 }
 
-/// How runs ended at each runner, as this gateway saw it.
+/// Outcomes of runs by runner, as seen by this gateway.
 ///
 /// ```
 /// use bulrushusher_forward::{HealthConfig, RunnerHealth};
 /// use bulrushusher_time::Millis;
 /// let id = "i-1".try_into().unwrap();
 /// let mut health = RunnerHealth::new(HealthConfig::default());
-/// health.note(&id, false, Millis(0));
+/// health.record(&id, false, Millis(0));
 /// assert!(!health.is_failing(&id, None, Millis(0)), "one failure may be chance");
-/// health.note(&id, false, Millis(100));
+/// health.record(&id, false, Millis(100));
 /// assert!(health.is_failing(&id, None, Millis(100)));
 /// assert!(!health.is_failing(&id, None, Millis(9_000)), "it is tried again");
 /// ```
@@ -81,21 +82,21 @@
     counts: HashMap<RunnerId, Counts>,
 }
 
-/// A count below this is not worth telling.
-const LEAST_TOLD: f64 = 0.2;
+/// Counts below this are not reported.
+const MIN_REPORTED: f64 = 0.2;
 
 impl RunnerHealth {
-    /// Nothing has ended yet.
+    /// Creates an empty record.
     pub fn new(cfg: HealthConfig) -> RunnerHealth {
         RunnerHealth { cfg, counts: HashMap::new() }
     }
 
-    /// A run ended well, or did not.
-    pub fn note(&mut self, runner: &RunnerId, good: bool, now: Millis) {
-        let (mut counts, cfg) = (self.counts_of(runner, now), self.cfg);
+    /// Records the outcome of a run.
+    pub fn record(&mut self, runner: &RunnerId, good: bool, now: Millis) {
+        let (mut counts, cfg) = (self.decayed(runner, now), self.cfg);
         match good {
             true => counts.good += 1.0,
-            false => counts.bad = (counts.bad + 1.0).min(cfg.most_failures),
+            false => counts.bad = (counts.bad + 1.0).min(cfg.max_failures),
         }
         self.counts.insert(runner.clone(), counts);
     }
@@ -105,48 +106,48 @@
         self.counts.remove(runner);
     }
 
-    /// What peers should hear: the runners that fail here, and those that fail at a peer.
-    pub fn told(&self, at_peers: &BTreeSet<RunnerId>, now: Millis) -> Vec<RunCounts> {
-        let all = self.counts.keys().map(|runner| (runner, self.counts_of(runner, now)));
-        all.filter(|(runner, counts)| counts.bad > LEAST_TOLD || at_peers.contains(*runner))
+    /// The counts to report: those of runners that fail here or at a peer.
+    pub fn reports(&self, at_peers: &BTreeSet<RunnerId>, now: Millis) -> Vec<RunCounts> {
+        let all = self.counts.keys().map(|runner| (runner, self.decayed(runner, now)));
+        all.filter(|(runner, counts)| counts.bad > MIN_REPORTED || at_peers.contains(*runner))
             .map(|(runner, counts)| RunCounts {
                 runner: runner.clone(),
-                good: rounded(counts.good),
-                bad: rounded(counts.bad),
+                good: round_to_tenth(counts.good),
+                bad: round_to_tenth(counts.bad),
             })
             .collect()
     }
 
-    /// Ends at a runner as they count now: those that were good, and those that were not.
-    pub fn ends(&self, runner: &RunnerId, now: Millis) -> (f64, f64) {
-        let counts = self.counts_of(runner, now);
+    /// Decayed counts of a runner's successful and failed runs.
+    pub fn decayed_counts(&self, runner: &RunnerId, now: Millis) -> (f64, f64) {
+        let counts = self.decayed(runner, now);
         (counts.good, counts.bad)
     }
 
-    /// True when the runner fails too many of its runs; `at_peers` sums what peers told of it.
+    /// True if the runner's failure rate is too high; `at_peers` is the sum of the peers' counts.
     pub fn is_failing(&self, runner: &RunnerId, at_peers: Option<&RunCounts>, now: Millis) -> bool {
-        let own = self.counts_of(runner, now);
+        let own = self.decayed(runner, now);
         let (good, bad) = at_peers.map_or((0.0, 0.0), |peers| (peers.good, peers.bad));
         let bad = bad + own.bad;
-        bad >= self.cfg.least_failures && bad >= self.cfg.least_share * (bad + good + own.good)
+        bad >= self.cfg.min_failures && bad >= self.cfg.min_failure_share * (bad + good + own.good)
     }
 
-    /// How many of so many runners may be passed over.
-    pub fn most_passed_over(&self, runners: usize) -> usize {
-        (runners as f64 * self.cfg.most_passed_over) as usize
+    /// Maximum number of runners to exclude from a pool of `runners`.
+    pub fn max_excluded(&self, runners: usize) -> usize {
+        (runners as f64 * self.cfg.max_excluded_share) as usize
     }
 
-    fn counts_of(&self, runner: &RunnerId, now: Millis) -> Counts {
+    fn decayed(&self, runner: &RunnerId, now: Millis) -> Counts {
         let Some(counts) = self.counts.get(runner) else {
             return Counts { good: 0.0, bad: 0.0, at: now };
         };
         let halvings = now.since(counts.at).0 as f64 / self.cfg.half_life.0.max(1) as f64;
-        let left = 0.5_f64.powf(halvings);
-        Counts { good: counts.good * left, bad: counts.bad * left, at: now }
+        let decay = 0.5_f64.powf(halvings);
+        Counts { good: counts.good * decay, bad: counts.bad * decay, at: now }
     }
 }
 
-/// Reports carry tenths.
-fn rounded(count: f64) -> f64 {
+/// Rounds to tenths, the precision of reports.
+fn round_to_tenth(count: f64) -> f64 {
     (count * 10.0).round() / 10.0
 }
--- a/crates/bulrushusher_forward/src/lib.rs
+++ b/crates/bulrushusher_forward/src/lib.rs
@@ -44,28 +44,31 @@
 mod waiting;
 
 pub use back_pressure::{
-    BackPressure, BackPressureConfig, LimitReport, Pressure, PressureCounts, PressureView,
+    BackPressure, BackPressureConfig, BackPressureCounts, BackPressureError, BackPressureView,
+    LimitReport,
 };
-pub use choose::{Candidate, PlainPick, pick_for_call, pick_for_prefill, rank_for_decode};
-pub use events::{EventSplitter, WholeEvents};
+pub use choose::{
+    PlainSelection, SelectionContext, pick_for_call, pick_for_prefill, rank_for_decode,
+};
+pub use events::{CompleteEvents, EventSplitter};
 pub use forecast::{ForecastConfig, LengthModel, MemoryForecast, MemoryNeed, RunShape};
 pub use gateways::{Announced, Gateways, GatewaysConfig, ListedGateways};
 pub use health::{HealthConfig, RunCounts, RunnerHealth};
-pub use load::{CallResult, LoadConfig, LoadLife, RunnerLoads};
+pub use load::{CallResult, LoadConfig, LoadEpoch, RunnerLoads};
 pub use members::{DrainReport, ListNews, Members, MembersConfig};
 pub use memory::{HoldConfig, tokens_to_hold};
 pub use moves::{MoveConfig, pick_for_move};
 pub use news::{NewsConfig, NewsSeen};
-pub use pace::{Pace, PaceConfig};
+pub use pace::{TimingConfig, TimingModel};
 pub use pauses::PauseModel;
 pub use rate_limit::{RateLimit, RateLimitError};
-pub use read_pace::ReadPace;
-pub use reading::{DecodeLoad, Prompt, ReadConfig, Reader};
+pub use read_pace::PrefillTiming;
+pub use reading::{DecodeLoad, PrefillSite, PrefillSiteConfig, PrefillTask};
 pub use relays::{RelayPeer, RelayView, Relays, RelaysConfig, StoreContact, StoreRole};
 pub use repeat::{AttemptEnd, AttemptPlan, FinalAnswer, NextStep};
 pub use report::{GatewayChanges, GatewayReport, RunNote};
 pub use request::{PromptSize, RequestId};
-pub use returns::{ReturnConfig, UsualPatience};
+pub use returns::{RetryAfterConfig, TypicalPatience};
 pub use revision::{era_of, number_of, revision_in_era};
 pub use route::{
     CallerLimits, EngineSpec, Route, RouteKind, RoutingConfig, RoutingError, ServiceSpec,
@@ -79,14 +82,16 @@
 pub use runs::{ChangesNews, PeersConfig, RunNumber, Runs};
 pub use shutdown::{Shutdown, ShutdownConfig};
 pub use signals::RunnerSignals;
-pub use stages::{DutyConfig, StageChange, StageDuty, StagesConfig, next_stage_change};
+pub use stages::{OrderLease, OrderLeaseConfig, StageChange, StagesConfig, next_stage_change};
 pub use starts::{StartNews, Starts};
-pub use waiting::{Claim, LineOrder, Rank, WaitingConfig, WaitingLine, asks_now};
+pub use waiting::{
+    AccountCost, QueueOrder, QueueRank, WaitQueue, WaitQueueConfig, should_request_memory,
+};
 
 /// The common types in one `use`.
 pub mod prelude {
     pub use crate::{
         AttemptEnd, AttemptPlan, Members, NextStep, PromptSize, RequestId, Route, RouteKind,
-        RoutingConfig, Runner, RunnerLoads, Stage, WaitingLine,
+        RoutingConfig, Runner, RunnerLoads, Stage, WaitQueue,
     };
 }
--- a/crates/bulrushusher_forward/src/limit_share.rs
+++ b/crates/bulrushusher_forward/src/limit_share.rs
@@ -1,8 +1,8 @@
-//! One gateway's share of a runner's rate limit.
+//! This gateway's share of a runner's rate limit.
 //!
-//! A limit holds over all gateways, which do not ask each other before they send. With one saved request at
-//! each of some hundred gateways a small limit would be passed many times over, so that few gateways share
-//! a small one: those that come first in rendezvous order for that runner.
+//! A limit applies to all gateways together, and they do not coordinate before they send. One saved
+//! request at each of about a hundred gateways would exceed a small limit many times over. A small
+//! limit is therefore shared by few gateways: the first ones in rendezvous order for the runner.
 
 use bulrushusher_time::Millis;
 use bulrushusher_world::RunnerId;
@@ -10,105 +10,116 @@
 use crate::RateLimit;
 use crate::rendezvous::is_among_first;
 
-/// Gateways that share a limit beyond one for each request a second.
-const SHARERS_BEYOND: f64 = 2.0;
+/// Number of gateways that share a limit, in addition to one per request per second.
+const EXTRA_SHARERS: f64 = 2.0;
 
-/// Length of time whose requests a gateway may save up, in s.
-const SAVED_S: f64 = 1.0;
+/// Burst that a gateway may save up, in seconds of its share.
+const BURST_S: f64 = 1.0;
 
-/// Requests that every sharer may save up.
-const LEAST_SAVED: f64 = 1.0;
+/// Minimum burst of every sharing gateway, in requests.
+const MIN_BURST: f64 = 1.0;
 
-/// Debt that is paid off at most, in s of the share: what cannot be withheld counts, and must not keep
-/// a gateway from its share for long.
-const MOST_OWED_S: f64 = 4.0;
+/// Maximum debt, in seconds of the share. Requests that cannot be withheld are charged, but must
+/// not block the gateway's share for long.
+const MAX_DEBT_S: f64 = 4.0;
 
-/// The gateways that may share limits, as one of them sees them.
+/// Gateways that may share a limit, as seen by one of them.
 #[derive(Clone, Debug)]
 pub(crate) struct Sharers<'a> {
     /// This gateway.
     pub own: &'a str,
-    /// The others that are heard.
-    pub heard: &'a [&'a str],
-    /// All that may live, this one included; those that are not heard may use the limit too.
+    /// Other gateways with recent reports.
+    pub reporting: &'a [&'a str],
+    /// All gateways that may be alive, including this one; those without recent reports may use the
+    /// limit too.
     pub all: usize,
 }
 
-/// One gateway's part of a limit, in requests.
+/// One gateway's share of a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Share {
     per_second: f64,
-    most_saved: f64,
+    burst: f64,
 }
 
 impl Share {
-    /// No part: nothing may be sent.
+    /// No share: nothing may be sent.
     pub(crate) fn none() -> Share {
-        Share { per_second: 0.0, most_saved: 0.0 }
+        Share { per_second: 0.0, burst: 0.0 }
     }
 
-    /// The part of the gateway that looks.
+    /// The share of the gateway `sharers.own`.
     pub(crate) fn of(limit: RateLimit, runner: &RunnerId, sharers: &Sharers<'_>) -> Share {
         let limit = limit.per_second();
-        let heard = sharers.heard.len() + 1;
-        let most = ((limit + SHARERS_BEYOND) as usize).clamp(1, heard);
-        if !is_among_first(most, runner.as_str(), sharers.own, sharers.heard.iter().copied()) {
+        let reporting = sharers.reporting.len() + 1;
+        let sharer_count = ((limit + EXTRA_SHARERS) as usize).clamp(1, reporting);
+        if !is_among_first(
+            sharer_count,
+            runner.as_str(),
+            sharers.own,
+            sharers.reporting.iter().copied(),
+        ) {
             return Share::none();
         }
-        let heard_part = heard as f64 / sharers.all.max(heard) as f64;
-        let per_second = limit * heard_part / most as f64;
-        Share { per_second, most_saved: LEAST_SAVED.max(per_second * SAVED_S) }
+        let reporting_share = reporting as f64 / sharers.all.max(reporting) as f64;
+        let per_second = limit * reporting_share / sharer_count as f64;
+        Share { per_second, burst: MIN_BURST.max(per_second * BURST_S) }
     }
 }
 
-/// A limit that a runner names, and what this gateway may still send of it.
+/// Token bucket for this gateway's share of a runner's limit.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LimitUse {
+pub(crate) struct LimitBucket {
     pub limit: RateLimit,
-    /// When the runner named it last, as far as is known.
-    pub named_at: Millis,
+    /// Time of the last known signal of the limit.
+    pub signalled_at: Millis,
     share: Share,
-    /// Requests that may be sent now; below zero after some that could not be withheld.
-    level: f64,
-    filled: Millis,
-    /// When a request was sent last to find out whether the limit still holds.
-    pub tried_at: Option<Millis>,
+    /// Requests that may be sent now; negative after requests that could not be withheld.
+    tokens: f64,
+    refilled_at: Millis,
+    /// When the last probe of the limit was sent.
+    pub probed_at: Option<Millis>,
 }
 
-impl LimitUse {
-    /// A limit that is new here. Nothing is saved up yet: all gateways hear of it at about the same time.
-    pub(crate) fn new(limit: RateLimit, share: Share, named_at: Millis, now: Millis) -> LimitUse {
-        LimitUse { limit, named_at, share, level: 0.0, filled: now, tried_at: None }
+impl LimitBucket {
+    /// Starts empty, because all gateways learn of a new limit at about the same time.
+    pub(crate) fn new(
+        limit: RateLimit,
+        share: Share,
+        signalled_at: Millis,
+        now: Millis,
+    ) -> LimitBucket {
+        LimitBucket { limit, signalled_at, share, tokens: 0.0, refilled_at: now, probed_at: None }
     }
 
-    /// Requests that may be sent at that time.
-    fn level_at(&self, now: Millis) -> f64 {
-        let came_in = self.share.per_second * now.since(self.filled).0 as f64 / 1_000.0;
-        (self.level + came_in).min(self.share.most_saved)
+    /// Requests that may be sent at `now`.
+    fn tokens_at(&self, now: Millis) -> f64 {
+        let refill = self.share.per_second * now.since(self.refilled_at).0 as f64 / 1_000.0;
+        (self.tokens + refill).min(self.share.burst)
     }
 
-    /// Takes another share from now on.
+    /// Replaces the share from `now` on.
     pub(crate) fn set_share(&mut self, share: Share, now: Millis) {
-        self.level = self.level_at(now).min(share.most_saved);
-        self.filled = now;
+        self.tokens = self.tokens_at(now).min(share.burst);
+        self.refilled_at = now;
         self.share = share;
     }
 
-    /// True when one more request may be sent.
+    /// True if one more request may be sent.
     pub(crate) fn is_open(&self, now: Millis) -> bool {
-        self.level_at(now) >= 1.0
+        self.tokens_at(now) >= 1.0
     }
 
-    /// Counts requests, also beyond the share.
-    pub(crate) fn count(&mut self, requests: f64, now: Millis) {
-        let most_owed = self.share.per_second * MOST_OWED_S + self.share.most_saved;
-        self.level = (self.level_at(now) - requests).clamp(-most_owed, self.share.most_saved);
-        self.filled = now;
+    /// Charges requests, also beyond the share.
+    pub(crate) fn charge(&mut self, requests: f64, now: Millis) {
+        let max_debt = self.share.per_second * MAX_DEBT_S + self.share.burst;
+        self.tokens = (self.tokens_at(now) - requests).clamp(-max_debt, self.share.burst);
+        self.refilled_at = now;
     }
 
-    /// Time until one more request may be sent; `None` when others have the whole limit.
-    pub(crate) fn opens_in(&self, now: Millis) -> Option<Millis> {
-        let missing = (1.0 - self.level_at(now)).max(0.0);
+    /// Time until one more request may be sent; `None` if this gateway has no share.
+    pub(crate) fn time_until_open(&self, now: Millis) -> Option<Millis> {
+        let missing = (1.0 - self.tokens_at(now)).max(0.0);
         let per_ms = self.share.per_second / 1_000.0;
         (per_ms > 0.0).then(|| Millis((missing / per_ms).ceil() as u64))
     }
--- a/crates/bulrushusher_forward/src/load.rs
+++ b/crates/bulrushusher_forward/src/load.rs
@@ -1,191 +1,201 @@
-//! What this process has at each runner, and how its calls there went.
+//! Load that this gateway puts on each runner, and the results of its calls there.
 
 use std::collections::HashMap;
 
 use bulrushusher_time::Millis;
 use bulrushusher_world::RunnerId;
 
-/// How results are weighed.
+/// Weights and pauses applied to call results.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadConfig {
-    /// Weight of the newest result in the running means.
+    /// Weight of the newest result in the moving averages.
     pub newest_weight: f64,
-    /// First pause after a runner could not be reached or stayed silent; doubles each time.
-    pub first_pause: Millis,
-    /// Longest such pause.
-    pub longest_pause: Millis,
-    /// How long a refused hold or call speaks against a runner.
-    pub refusal_fades: Millis,
-    /// How long a call that tries a silent runner again keeps others from it.
-    pub trial: Millis,
+    /// First pause after a runner was unreachable or timed out; it doubles with each further
+    /// failure.
+    pub initial_pause: Millis,
+    /// Maximum pause.
+    pub max_pause: Millis,
+    /// How long a refused hold or call counts against a runner.
+    pub refusal_lifetime: Millis,
+    /// How long a probe of an unreachable runner holds back other calls to it.
+    pub probe_timeout: Millis,
 }
 
 impl Default for LoadConfig {
-    /// A quarter follows a runner that turns slow or failing within some ten calls. The pauses
-    /// bound what a dead runner costs to about one call in four seconds; a refusal is stale
-    /// once one more answer may have ended there. A call to a runner that is still silent is given
-    /// up within a second; without the trial a dozen calls met it at once after each pause.
+    /// With a weight of a quarter the averages follow a runner that becomes slow or failing within
+    /// about ten calls. The pauses limit the cost of a dead runner to about one call in four
+    /// seconds. A refusal expires when another run may have ended. A call to a runner that still
+    /// does not respond is abandoned within a second; without the probe a dozen calls reached it at
+    /// once after each pause.
     fn default() -> LoadConfig {
         LoadConfig {
             newest_weight: 0.25,
-            first_pause: Millis(300),
-            longest_pause: Millis(4_000),
-            refusal_fades: Millis(60),
-            trial: Millis(1_000),
+            initial_pause: Millis(300),
+            max_pause: Millis(4_000),
+            refusal_lifetime: Millis(60),
+            probe_timeout: Millis(1_000),
         }
     }
 }
 
-/// How a call to a runner ended.
+/// Result of a call to a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallResult {
-    /// It answered after that time.
+    /// The runner answered after this time.
     Answered(Millis),
-    /// It answered with a failure of its own.
+    /// The runner answered with an error of its own.
     Failed,
-    /// It said that it did not run the request.
+    /// The runner answered that it did not run the request.
     NotRun,
-    /// It could not be reached, broke off or stayed silent.
+    /// The runner was unreachable, closed the connection or timed out.
     Unreachable,
-    /// It was not called: it had asked for that, which says nothing against it.
+    /// The call was withheld because of the runner's back-pressure; this does not count against it.
     Withheld,
 }
 
-/// Tells apart what is known of a runner before and after it was forgotten: a call that began
-/// before does not count off one that began after.
+/// Distinguishes the records kept before and after a runner was forgotten, so that the end of an
+/// earlier call is not subtracted from the load of later ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LoadLife(u64);
+pub struct LoadEpoch(u64);
 
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RunnerLoad {
-    life: LoadLife,
+    epoch: LoadEpoch,
     pub in_flight: u32,
-    pub prompt_tokens: u64,
+    pub queued_prompt_tokens: u64,
     mean_ms: f64,
     failure_share: f64,
-    unreachable_in_row: u32,
+    consecutive_unreachable: u32,
     paused_until: Millis,
-    /// When a call began that tries a silent runner again.
-    tried_at: Option<Millis>,
-    refused: Option<Millis>,
+    /// When the last probe of the unreachable runner was sent.
+    probed_at: Option<Millis>,
+    refused_at: Option<Millis>,
 }
 
-/// Loads and results of all runners, as this process sees them.
+/// Loads and call results of all runners, as this gateway sees them.
 #[derive(Clone, Debug)]
 pub struct RunnerLoads {
     cfg: LoadConfig,
     loads: HashMap<RunnerId, RunnerLoad>,
-    lives: u64,
+    last_epoch: u64,
 }
 
 impl RunnerLoads {
-    /// Nothing was sent yet.
+    /// Creates an empty record: no calls were sent yet.
     pub fn new(cfg: LoadConfig) -> RunnerLoads {
-        RunnerLoads { cfg, loads: HashMap::new(), lives: 0 }
+        RunnerLoads { cfg, loads: HashMap::new(), last_epoch: 0 }
     }
 
     pub(crate) fn get(&self, id: &RunnerId) -> RunnerLoad {
         self.loads.get(id).copied().unwrap_or_default()
     }
 
-    /// What is known of the runner; nothing yet if it is new.
-    fn load(&mut self, id: &RunnerId) -> &mut RunnerLoad {
+    /// The record of the runner, created if there is none.
+    fn entry(&mut self, id: &RunnerId) -> &mut RunnerLoad {
         self.loads.entry(id.clone()).or_insert_with(|| {
-            self.lives += 1;
-            RunnerLoad { life: LoadLife(self.lives), ..RunnerLoad::default() }
+            self.last_epoch += 1;
+            RunnerLoad { epoch: LoadEpoch(self.last_epoch), ..RunnerLoad::default() }
         })
     }
 
-    /// A call to the runner begins; `prompt_tokens` are to be read there.
-    pub fn begin(&mut self, id: &RunnerId, prompt_tokens: u64) -> LoadLife {
-        let load = self.load(id);
-        load.in_flight += 1;
-        load.prompt_tokens += prompt_tokens;
-        load.life
+    /// Counts a call to the runner, with the prompt tokens that it must prefill.
+    pub fn begin(&mut self, id: &RunnerId, prompt_tokens: u64) -> LoadEpoch {
+        let entry = self.entry(id);
+        entry.in_flight += 1;
+        entry.queued_prompt_tokens += prompt_tokens;
+        entry.epoch
     }
 
-    /// A call to the runner is about to be made. If it was silent, this one tries it for all others.
-    pub fn note_trial(&mut self, id: &RunnerId, now: Millis) {
-        if let Some(load) = self.loads.get_mut(id).filter(|load| load.unreachable_in_row > 0) {
-            load.tried_at = Some(now);
+    /// Records that a call is about to be sent. If the runner was unreachable, this call is its
+    /// probe and holds back others.
+    pub fn record_probe(&mut self, id: &RunnerId, now: Millis) {
+        if let Some(entry) =
+            self.loads.get_mut(id).filter(|entry| entry.consecutive_unreachable > 0)
+        {
+            entry.probed_at = Some(now);
         }
     }
 
-    /// Runners that could not be reached lately.
-    pub fn silent(&self, now: Millis) -> Vec<RunnerId> {
-        let silent = |load: &RunnerLoad| load.unreachable_in_row > 0;
-        let all = self.loads.iter().filter(|(id, load)| silent(load) && self.is_paused(id, now));
+    /// Runners that could not be reached recently.
+    pub fn unreachable(&self, now: Millis) -> Vec<RunnerId> {
+        let is_unreachable = |entry: &RunnerLoad| entry.consecutive_unreachable > 0;
+        let all = self
+            .loads
+            .iter()
+            .filter(|(id, entry)| is_unreachable(entry) && self.is_paused(id, now));
         all.map(|(id, _)| id.clone()).collect()
     }
 
-    /// A call begun with the same `prompt_tokens` is over. One that began before the runner was
-    /// forgotten is not counted any more.
-    pub fn end(&mut self, id: &RunnerId, life: LoadLife, prompt_tokens: u64) {
-        let Some(load) = self.loads.get_mut(id).filter(|load| load.life == life) else { return };
-        load.in_flight = load.in_flight.saturating_sub(1);
-        load.prompt_tokens = load.prompt_tokens.saturating_sub(prompt_tokens);
+    /// Ends a call that was begun with the same `prompt_tokens`. A call from before the runner was
+    /// forgotten is ignored.
+    pub fn end(&mut self, id: &RunnerId, epoch: LoadEpoch, prompt_tokens: u64) {
+        let Some(entry) = self.loads.get_mut(id).filter(|entry| entry.epoch == epoch) else {
+            return;
+        };
+        entry.in_flight = entry.in_flight.saturating_sub(1);
+        entry.queued_prompt_tokens = entry.queued_prompt_tokens.saturating_sub(prompt_tokens);
     }
 
-    /// Prompt tokens that are to be read at a runner.
-    pub fn prompt_tokens(&self, id: &RunnerId) -> u64 {
-        self.get(id).prompt_tokens
+    /// Prompt tokens that this gateway has queued at a runner.
+    pub fn queued_prompt_tokens(&self, id: &RunnerId) -> u64 {
+        self.get(id).queued_prompt_tokens
     }
 
-    /// Prompt tokens that are to be read, by runner.
-    pub fn reads(&self) -> Vec<(RunnerId, u64)> {
-        let reading = self.loads.iter().filter(|(_, load)| load.prompt_tokens > 0);
-        reading.map(|(id, load)| (id.clone(), load.prompt_tokens)).collect()
+    /// Prompt tokens that this gateway has queued, by runner.
+    pub fn queued_prompts(&self) -> Vec<(RunnerId, u64)> {
+        let queued = self.loads.iter().filter(|(_, entry)| entry.queued_prompt_tokens > 0);
+        queued.map(|(id, entry)| (id.clone(), entry.queued_prompt_tokens)).collect()
     }
 
-    /// The runner had no room for a hold.
-    pub fn hold_refused(&mut self, id: &RunnerId, now: Millis) {
-        self.load(id).refused = Some(now);
+    /// Records that the runner had no memory for a hold.
+    pub fn record_hold_refusal(&mut self, id: &RunnerId, now: Millis) {
+        self.entry(id).refused_at = Some(now);
     }
 
-    /// Takes in how a call went.
-    pub fn note(&mut self, id: &RunnerId, result: CallResult, now: Millis) {
+    /// Records the result of a call.
+    pub fn record(&mut self, id: &RunnerId, result: CallResult, now: Millis) {
         if result == CallResult::Withheld {
             return;
         }
-        let LoadConfig { newest_weight: weight, first_pause, longest_pause, .. } = self.cfg;
-        let load = self.load(id);
+        let LoadConfig { newest_weight: weight, initial_pause, max_pause, .. } = self.cfg;
+        let entry = self.entry(id);
         let failure = match result {
             CallResult::Answered(took) => {
-                load.mean_ms = mix(load.mean_ms, took.0 as f64, weight);
+                entry.mean_ms = moving_average(entry.mean_ms, took.0 as f64, weight);
                 0.0
             }
             CallResult::Failed | CallResult::Unreachable => 1.0,
-            CallResult::NotRun | CallResult::Withheld => load.failure_share,
+            CallResult::NotRun | CallResult::Withheld => entry.failure_share,
         };
-        load.failure_share = mix(load.failure_share, failure, weight);
+        entry.failure_share = moving_average(entry.failure_share, failure, weight);
         if result == CallResult::NotRun {
-            load.refused = Some(now);
+            entry.refused_at = Some(now);
         }
         match result {
             CallResult::Unreachable => {
-                let doublings = load.unreachable_in_row.min(8);
-                load.unreachable_in_row += 1;
-                let pause = (first_pause.0 << doublings).min(longest_pause.0);
-                load.paused_until = now.plus(Millis(pause));
-                load.tried_at = None;
+                let doublings = entry.consecutive_unreachable.min(8);
+                entry.consecutive_unreachable += 1;
+                let pause = (initial_pause.0 << doublings).min(max_pause.0);
+                entry.paused_until = now.plus(Millis(pause));
+                entry.probed_at = None;
             }
             CallResult::Answered(_) | CallResult::Failed | CallResult::NotRun => {
-                load.reached(now);
+                entry.mark_reachable(now);
             }
             CallResult::Withheld => {}
         }
     }
 
-    /// The runner answered a call that says nothing else of it.
-    pub fn note_reached(&mut self, id: &RunnerId, now: Millis) {
-        if let Some(load) = self.loads.get_mut(id) {
-            load.reached(now);
+    /// Records an answer that proves only that the runner is reachable.
+    pub fn record_reachable(&mut self, id: &RunnerId, now: Millis) {
+        if let Some(entry) = self.loads.get_mut(id) {
+            entry.mark_reachable(now);
         }
     }
 
-    /// The runner takes no work until then.
+    /// Sends the runner no work until `until`.
     pub fn pause(&mut self, id: &RunnerId, until: Millis) {
-        self.load(id).paused_until = until;
+        self.entry(id).paused_until = until;
     }
 
     /// Forgets a runner that is gone.
@@ -193,55 +203,56 @@
         self.loads.remove(id);
     }
 
-    /// True while the runner should be passed over: it was unreachable a moment ago, or a call is
-    /// trying whether it still is.
+    /// True while the runner should be skipped: it was unreachable recently, or a probe is in
+    /// flight.
     pub fn is_paused(&self, id: &RunnerId, now: Millis) -> bool {
-        let load = self.get(id);
-        let is_tried = load.tried_at.is_some_and(|at| now.since(at) < self.cfg.trial);
-        now < load.paused_until || is_tried
+        let entry = self.get(id);
+        let is_probing = entry.probed_at.is_some_and(|at| now.since(at) < self.cfg.probe_timeout);
+        now < entry.paused_until || is_probing
     }
 
-    /// True while nothing that happened a moment ago speaks against another call.
-    pub fn takes_calls(&self, id: &RunnerId, now: Millis) -> bool {
+    /// True if the runner is neither paused nor has recently refused work.
+    pub fn accepts_calls(&self, id: &RunnerId, now: Millis) -> bool {
         !self.is_paused(id, now) && !self.is_full(id, now)
     }
 
-    /// True when the runner refused a hold or a call so lately that it will refuse again.
+    /// True if the runner refused a hold or a call so recently that it is likely to refuse again.
     pub(crate) fn is_full(&self, id: &RunnerId, now: Millis) -> bool {
-        let refused = self.get(id).refused;
-        refused.is_some_and(|at| now.since(at) < self.cfg.refusal_fades)
+        let refused_at = self.get(id).refused_at;
+        refused_at.is_some_and(|at| now.since(at) < self.cfg.refusal_lifetime)
     }
 }
 
 impl RunnerLoad {
-    /// An answer ends only a pause for silence: a runner that changes its stage still ends what it
-    /// had.
-    fn reached(&mut self, now: Millis) {
-        if self.unreachable_in_row > 0 {
+    /// Ends the pause only if it was caused by unreachability: a runner that is changing its stage
+    /// stays paused while it still answers the calls it has in flight.
+    fn mark_reachable(&mut self, now: Millis) {
+        if self.consecutive_unreachable > 0 {
             self.paused_until = now;
         }
-        self.unreachable_in_row = 0;
-        self.tried_at = None;
+        self.consecutive_unreachable = 0;
+        self.probed_at = None;
     }
 
-    /// Mean time of its answers, in ms; `None` when it has not answered yet.
+    /// Mean response time in ms; `None` if it has not answered yet.
     pub fn mean_ms(&self) -> Option<f64> {
         (self.mean_ms > 0.0).then_some(self.mean_ms)
     }
 
-    /// Expected time of one more call, in ms, with failures counted as time lost. A runner that has not
-    /// answered yet is taken to be as quick as the quickest of its pool, which takes `quickest_ms`.
-    pub fn expected_ms(&self, slots: u32, quickest_ms: f64) -> f64 {
+    /// Expected response time of one more call, in ms, with failures counted as lost time. A runner
+    /// that has not answered yet is assumed to be as fast as the fastest of its pool
+    /// (`fastest_ms`).
+    pub fn expected_ms(&self, slots: u32, fastest_ms: f64) -> f64 {
         let queue = f64::from(self.in_flight + 1) / f64::from(slots.max(1));
-        let mean = self.mean_ms().unwrap_or(quickest_ms).max(1.0);
+        let mean = self.mean_ms().unwrap_or(fastest_ms).max(1.0);
         let failures = 1.0 + FAILURE_COST * self.failure_share;
         mean * failures * (1.0 + queue)
     }
 }
 
-/// A failed call costs the caller about this many calls: the lost one, and the repeat's wait.
+/// Cost of a failed call, in calls: the lost call and the wait of the retry.
 const FAILURE_COST: f64 = 4.0;
 
-fn mix(old: f64, new: f64, weight: f64) -> f64 {
+fn moving_average(old: f64, new: f64, weight: f64) -> f64 {
     if old == 0.0 { new } else { old + weight * (new - old) }
 }
--- a/crates/bulrushusher_forward/src/memory.rs
+++ b/crates/bulrushusher_forward/src/memory.rs
@@ -1,25 +1,25 @@
-//! How much decode memory is held for a generation.
+//! Size of the decode memory hold of a generation.
 
 use crate::PromptSize;
 
-/// How holds are sized.
+/// Sizing of holds.
 #[derive(Clone, Copy, Debug)]
 pub struct HoldConfig {
-    /// Output tokens held for each one that the caller expects.
+    /// Output tokens held per output token that the caller expects.
     pub per_expected_output: f64,
 }
 
 impl Default for HoldConfig {
-    /// Only the prompt is held: a runner keeps a hold for as long as the run lasts, and half of its
-    /// memory then stood idle while seven runs had it to themselves. What runs grow into is left to
-    /// the forecast.
+    /// Holds only the prompt. A runner keeps a hold as long as the run lasts; with output included,
+    /// seven runs occupied a runner and half of its memory was idle. The forecast accounts for the
+    /// growth of runs.
     fn default() -> HoldConfig {
         HoldConfig { per_expected_output: 0.0 }
     }
 }
 
-/// Tokens to hold: the prompt and the expected output with its margin, never more than the most
-/// that can be generated.
+/// Tokens to hold: the prompt and the expected output with its margin, limited to the maximum
+/// output.
 ///
 /// ```
 /// use bulrushusher_forward::{HoldConfig, PromptSize, tokens_to_hold};
@@ -27,11 +27,11 @@
 /// assert_eq!(tokens_to_hold(&size, 0, HoldConfig { per_expected_output: 2.0 }), 1_600);
 /// assert_eq!(tokens_to_hold(&size, 0, HoldConfig { per_expected_output: 4.0 }), 1_900);
 /// ```
-pub fn tokens_to_hold(size: &PromptSize, already_made: u64, cfg: HoldConfig) -> u64 {
+pub fn tokens_to_hold(size: &PromptSize, already_generated: u64, cfg: HoldConfig) -> u64 {
     let expected = match size.expected_output {
         Some(tokens) => (tokens as f64 * cfg.per_expected_output) as u64,
         None => size.most_output,
     };
-    let output = expected.max(already_made).min(size.most_output);
+    let output = expected.max(already_generated).min(size.most_output);
     size.prompt + output
 }
--- a/crates/bulrushusher_forward/src/normal.rs
+++ b/crates/bulrushusher_forward/src/normal.rs
@@ -1,6 +1,6 @@
-//! A quantity that is about normal, learned from what was seen of it.
+//! Estimate of a normally distributed quantity.
 
-/// Its mean and variance; older observations fade.
+/// Exponentially weighted mean and variance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Normal {
     pub mean: f64,
@@ -8,22 +8,22 @@
 }
 
 impl Normal {
-    /// Takes in an observation with that weight; the variance stays above the least.
-    pub(crate) fn note(&mut self, seen: f64, weight: f64, least_variance: f64) {
-        let off = seen - self.mean;
-        self.mean += weight * off;
-        self.variance += weight * (off * off - self.variance);
-        self.variance = self.variance.max(least_variance);
+    /// Records an observation with this weight; the variance stays at or above `min_variance`.
+    pub(crate) fn record(&mut self, observed: f64, weight: f64, min_variance: f64) {
+        let deviation = observed - self.mean;
+        self.mean += weight * deviation;
+        self.variance += weight * (deviation * deviation - self.variance);
+        self.variance = self.variance.max(min_variance);
     }
 
-    /// Share of what is to come that lies above `bound`.
-    pub(crate) fn share_above(&self, bound: f64) -> f64 {
-        let off = bound - self.mean;
-        0.5 * erfc(off / (2.0 * self.variance).sqrt())
+    /// Probability of a value above `bound`.
+    pub(crate) fn probability_above(&self, bound: f64) -> f64 {
+        let deviation = bound - self.mean;
+        0.5 * erfc(deviation / (2.0 * self.variance).sqrt())
     }
 }
 
-/// The complementary error function, to seven digits (Abramowitz and Stegun, 7.1.26).
+/// The complementary error function, accurate to seven digits (Abramowitz and Stegun, 7.1.26).
 fn erfc(x: f64) -> f64 {
     let t = 1.0 / (1.0 + 0.327_591_1 * x.abs());
     let poly = t
--- a/crates/bulrushusher_forward/src/pace.rs
+++ b/crates/bulrushusher_forward/src/pace.rs
@@ -1,172 +1,177 @@
-//! How long prompts take to read and generations to end, learned from those that did.
+//! Estimates of prefill and generation times, learned from completed ones.
 
 use bulrushusher_time::Millis;
 
-use crate::{LengthModel, PauseModel, ReadPace, RunShape};
+use crate::{LengthModel, PauseModel, PrefillTiming, RunShape};
 
-/// First guesses and margins.
+/// Initial estimates and margins.
 #[derive(Clone, Copy, Debug)]
-pub struct PaceConfig {
-    /// Reading time of one prompt token before any was seen, in ms.
-    pub first_read_ms_per_token: f64,
-    /// How much longer a decode runner takes for a prompt before any was seen.
-    pub first_decode_factor: f64,
-    /// Tokens that a run generates in one ms before any was seen.
-    pub first_tokens_per_ms: f64,
-    /// Duration of a generation before any was seen.
-    pub first_generation: Millis,
-    /// A reading that takes this many times as long as expected counts as lost.
-    pub read_margin: f64,
-    /// Added to that: what a short queue at the runner takes.
-    pub read_slack: Millis,
+pub struct TimingConfig {
+    /// Initial prefill time per prompt token, in ms.
+    pub initial_prefill_ms_per_token: f64,
+    /// Initial ratio of the prefill time at a decode runner to that at a prefill runner.
+    pub initial_decode_prefill_factor: f64,
+    /// Initial generation rate of a run, in tokens per ms.
+    pub initial_tokens_per_ms: f64,
+    /// Initial duration of a generation.
+    pub initial_generation: Millis,
+    /// A prefill that takes this many times its expected duration is considered lost.
+    pub prefill_timeout_factor: f64,
+    /// Added to that, for a short queue at the runner.
+    pub prefill_timeout_slack: Millis,
     /// Weight of the newest observation.
     pub newest_weight: f64,
 }
 
-impl Default for PaceConfig {
-    /// First guesses are those of a large model on two accelerators. What waits at a runner is
-    /// known from all gateways but for the last milliseconds, hence two and a half times and a
-    /// fifth of a second.
-    fn default() -> PaceConfig {
-        PaceConfig {
-            first_read_ms_per_token: 0.02,
-            first_decode_factor: 2.0,
-            first_tokens_per_ms: 1.4,
-            first_generation: Millis(5_000),
-            read_margin: 2.5,
-            read_slack: Millis(200),
+impl Default for TimingConfig {
+    /// The initial estimates are those of a large model on two accelerators. The queue at a runner
+    /// is known except for the last milliseconds of other gateways, which the factor of 2.5 and the
+    /// 200 ms cover.
+    fn default() -> TimingConfig {
+        TimingConfig {
+            initial_prefill_ms_per_token: 0.02,
+            initial_decode_prefill_factor: 2.0,
+            initial_tokens_per_ms: 1.4,
+            initial_generation: Millis(5_000),
+            prefill_timeout_factor: 2.5,
+            prefill_timeout_slack: Millis(200),
             newest_weight: 0.1,
         }
     }
 }
 
-/// Running means.
+/// Estimates of one service.
 ///
 /// ```
-/// use bulrushusher_forward::{Pace, PaceConfig};
+/// use bulrushusher_forward::{TimingConfig, TimingModel};
 /// use bulrushusher_time::Millis;
-/// let mut pace = Pace::new(PaceConfig::default());
-/// assert_eq!(pace.longest_read(5_000), Millis(450));
+/// let mut timing = TimingModel::new(TimingConfig::default());
+/// assert_eq!(timing.prefill_timeout(5_000), Millis(450));
 /// for _ in 0..50 {
-///     pace.note_read(5_000, Millis(200));
-///     pace.note_generation(Millis(3_000), 4_000, 4_000);
+///     timing.record_prefill(5_000, Millis(200));
+///     timing.record_generation(Millis(3_000), 4_000, 4_000);
 /// }
-/// assert!(pace.longest_read(5_000) > Millis(600));
-/// assert!(pace.expected_generation() < Millis(4_500));
+/// assert!(timing.prefill_timeout(5_000) > Millis(600));
+/// assert!(timing.generation_upper_bound() < Millis(4_500));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Pace {
-    cfg: PaceConfig,
-    prefill: ReadPace,
-    decode: ReadPace,
+pub struct TimingModel {
+    cfg: TimingConfig,
+    prefill: PrefillTiming,
+    decode: PrefillTiming,
     pauses: PauseModel,
     generation_ms: f64,
     tokens_per_ms: f64,
     lengths: LengthModel,
 }
 
-/// An expected generation is this many times the mean: all but a few end within it.
-const GENERATION_MARGIN: f64 = 1.4;
+/// Ratio of the duration within which nearly all generations end to the mean.
+const GENERATION_UPPER_BOUND_FACTOR: f64 = 1.4;
 
-impl Pace {
-    /// Nothing was seen yet.
-    pub fn new(cfg: PaceConfig) -> Pace {
-        Pace {
+impl TimingModel {
+    /// Creates the initial estimates.
+    pub fn new(cfg: TimingConfig) -> TimingModel {
+        TimingModel {
             cfg,
-            prefill: ReadPace::new(cfg.first_read_ms_per_token),
-            decode: ReadPace::new(cfg.first_read_ms_per_token * cfg.first_decode_factor),
+            prefill: PrefillTiming::new(cfg.initial_prefill_ms_per_token),
+            decode: PrefillTiming::new(
+                cfg.initial_prefill_ms_per_token * cfg.initial_decode_prefill_factor,
+            ),
             pauses: PauseModel::default(),
-            tokens_per_ms: cfg.first_tokens_per_ms,
+            tokens_per_ms: cfg.initial_tokens_per_ms,
             lengths: LengthModel::default(),
-            generation_ms: cfg.first_generation.0 as f64 / GENERATION_MARGIN,
+            generation_ms: cfg.initial_generation.0 as f64 / GENERATION_UPPER_BOUND_FACTOR,
         }
     }
 
-    /// So many tokens, a prompt and those in front of it, were read at a prefill runner.
-    pub fn note_read(&mut self, tokens: u64, took: Millis) {
+    /// Records a prefill at a prefill runner; `tokens` includes the prompts queued ahead of it.
+    pub fn record_prefill(&mut self, tokens: u64, took: Millis) {
         if tokens > 0 {
-            self.prefill.note(tokens as f64, took.0 as f64);
+            self.prefill.record(tokens as f64, took.0 as f64);
         }
     }
 
-    /// A decode runner that read no other prompt has read one for a run of its own.
-    pub fn note_decode_read(&mut self, tokens: u64, took: Millis) {
+    /// Records a prefill at a decode runner that had no other prompt to prefill.
+    pub fn record_decode_prefill(&mut self, tokens: u64, took: Millis) {
         if tokens > 0 {
-            self.decode.note(tokens as f64, took.0 as f64);
+            self.decode.record(tokens as f64, took.0 as f64);
         }
     }
 
-    /// A run paused for `seen` while its decode runner read a prompt, whose whole reading would have
-    /// made a pause of `whole` ms.
-    pub fn note_pause(&mut self, whole: f64, seen: Millis) {
-        self.pauses.note(whole, seen.0 as f64);
+    /// Records the longest pause of a run while its decode runner prefilled a prompt.
+    /// `uninterrupted_ms` is the pause if the prefill had run without interruption.
+    pub fn record_pause(&mut self, uninterrupted_ms: f64, observed: Millis) {
+        self.pauses.record(uninterrupted_ms, observed.0 as f64);
     }
 
-    /// How fast an idle prefill runner reads.
-    pub fn prefill(&self) -> ReadPace {
+    /// Prefill times of an idle prefill runner.
+    pub fn prefill(&self) -> PrefillTiming {
         self.prefill
     }
 
-    /// How fast a decode runner reads between the tokens of its runs.
-    pub fn decode(&self) -> ReadPace {
+    /// Prefill times of a decode runner that interleaves them with the tokens of its runs.
+    pub fn decode(&self) -> PrefillTiming {
         self.decode
     }
 
-    /// What readings at decode runners did to the other runs there.
+    /// Pauses that prefills at decode runners cause for the other runs there.
     pub fn pauses(&self) -> PauseModel {
         self.pauses
     }
 
-    /// A generation ended whole after `took`, with `made` tokens where `expected` were expected.
-    pub fn note_generation(&mut self, took: Millis, expected: u64, made: u64) {
-        let seen = took.0 as f64;
-        self.generation_ms += self.cfg.newest_weight * (seen - self.generation_ms);
-        if took.0 > 0 && made > 0 {
-            let rate = made as f64 / seen;
+    /// Records a completed generation of `generated` tokens, where the caller expected
+    /// `expected`.
+    pub fn record_generation(&mut self, took: Millis, expected: u64, generated: u64) {
+        let took_ms = took.0 as f64;
+        self.generation_ms += self.cfg.newest_weight * (took_ms - self.generation_ms);
+        if took.0 > 0 && generated > 0 {
+            let rate = generated as f64 / took_ms;
             self.tokens_per_ms += self.cfg.newest_weight * (rate - self.tokens_per_ms);
         }
-        self.lengths.note_end(expected as f64, made as f64);
+        self.lengths.record(expected as f64, generated as f64);
     }
 
-    /// Tokens that a run generates in one ms.
+    /// Generation rate of a run, in tokens per ms.
     pub fn tokens_per_ms(&self) -> f64 {
         self.tokens_per_ms
     }
 
-    /// How answers' lengths lie around what callers expect.
+    /// Distribution of output lengths relative to the callers' estimates.
     pub fn lengths(&self) -> LengthModel {
         self.lengths
     }
 
-    /// Time after which a reading counts as lost that ends when `tokens` were read.
-    pub fn longest_read(&self, tokens: u64) -> Millis {
-        let expected = self.prefill.expected(tokens as f64) * self.cfg.read_margin;
-        Millis(expected as u64).plus(self.cfg.read_slack)
+    /// Time after which a prefill is considered lost; `tokens` includes the prompts queued ahead of
+    /// it.
+    pub fn prefill_timeout(&self, tokens: u64) -> Millis {
+        let expected = self.prefill.expected_ms(tokens as f64) * self.cfg.prefill_timeout_factor;
+        Millis(expected as u64).plus(self.cfg.prefill_timeout_slack)
     }
 
-    /// Share of the generations like this one that end within `left`, its prompt's reading included.
+    /// Probability that a run like this one ends within `left`, including its prefill.
     ///
     /// ```
-    /// use bulrushusher_forward::{Pace, PaceConfig, RunShape};
+    /// use bulrushusher_forward::{RunShape, TimingConfig, TimingModel};
     /// use bulrushusher_time::Millis;
-    /// let pace = Pace::new(PaceConfig::default());
-    /// let run = RunShape { prompt: 5_000.0, made: 0.0, expected: 4_000.0, most: 9_000.0 };
-    /// assert!(pace.share_that_ends(&run, Millis(14_000)) > 0.99);
-    /// assert!(pace.share_that_ends(&run, Millis(1_000)) < 0.05);
+    /// let timing = TimingModel::new(TimingConfig::default());
+    /// let (expected, max_output) = (4_000.0, 9_000.0);
+    /// let run = RunShape { prompt: 5_000.0, generated: 0.0, expected, max_output };
+    /// assert!(timing.completion_probability(&run, Millis(14_000)) > 0.99);
+    /// assert!(timing.completion_probability(&run, Millis(1_000)) < 0.05);
     /// ```
-    pub fn share_that_ends(&self, run: &RunShape, left: Millis) -> f64 {
-        let reading = Millis(self.prefill.expected(run.prompt) as u64);
-        let tokens = left.since(reading).0 as f64 * self.tokens_per_ms;
+    pub fn completion_probability(&self, run: &RunShape, left: Millis) -> f64 {
+        let prefill = Millis(self.prefill.expected_ms(run.prompt) as u64);
+        let tokens = left.since(prefill).0 as f64 * self.tokens_per_ms;
         1.0 - self.lengths.survival(run, tokens)
     }
 
-    /// Time that a generation takes in the mean.
+    /// Mean duration of a generation.
     pub fn mean_generation(&self) -> Millis {
         Millis(self.generation_ms as u64)
     }
 
-    /// Time within which nearly all generations end.
-    pub fn expected_generation(&self) -> Millis {
-        Millis((self.generation_ms * GENERATION_MARGIN) as u64)
+    /// Duration within which nearly all generations end.
+    pub fn generation_upper_bound(&self) -> Millis {
+        Millis((self.generation_ms * GENERATION_UPPER_BOUND_FACTOR) as u64)
     }
 }
--- a/crates/bulrushusher_forward/src/pauses.rs
+++ b/crates/bulrushusher_forward/src/pauses.rs
@@ -1,13 +1,13 @@
-//! How long runs pause while their decode runner reads a prompt.
+//! Pauses of runs while their decode runner prefills a prompt.
 
 use crate::normal::Normal;
 
-/// What readings at decode runners did to the other runs there.
+/// Model of the pauses that prefills at decode runners cause for the other runs there.
 ///
-/// A decode runner reads in pieces between the tokens of its runs. How much of a reading falls between
-/// two events depends on the size of the pieces and the tokens of an event, which differ by engine.
-/// So the longest pause seen is compared with the one that the whole reading would make; the ratio's
-/// mean and spread are learned.
+/// A decode runner prefills in chunks between the tokens of its runs. The part of a prefill that
+/// falls between two events depends on the chunk size and the tokens per event, which differ by
+/// engine. The model therefore learns the mean and variance of the ratio of the longest observed
+/// pause to the pause that an uninterrupted prefill would cause.
 ///
 /// ```
 /// use bulrushusher_forward::PauseModel;
@@ -15,43 +15,44 @@
 /// assert!(pauses.late_share(200.0, 300.0) < 0.05);
 /// assert!(pauses.late_share(500.0, 300.0) > 0.9);
 /// for _ in 0..30 {
-///     pauses.note(400.0, 100.0);
+///     pauses.record(400.0, 100.0);
 /// }
-/// assert!(pauses.late_share(500.0, 300.0) < 0.05, "an event has a quarter of the reading");
+/// assert!(pauses.late_share(500.0, 300.0) < 0.05, "a quarter falls between two events");
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PauseModel {
     ratio: Normal,
 }
 
-/// Weight of the newest reading: some seven are remembered, as runners and engines change.
+/// Weight of the newest prefill: about seven are remembered, as runners and engines change.
 const NEWEST_WEIGHT: f64 = 0.15;
 
-/// Least spread: engines' steps and the network vary by as much.
-const LEAST_VARIANCE: f64 = 0.005;
+/// Minimum variance: step times of engines and network delays vary by as much.
+const MIN_VARIANCE: f64 = 0.005;
 
 impl Default for PauseModel {
-    /// Before anything was seen: nine tenths of a reading fall between two events.
+    /// Prior: nine tenths of a prefill fall between two events.
     fn default() -> PauseModel {
         PauseModel { ratio: Normal { mean: 0.9, variance: 0.015 } }
     }
 }
 
 impl PauseModel {
-    /// A run paused for `seen` ms during a reading that would have made `whole` ms.
-    pub fn note(&mut self, whole: f64, seen: f64) {
-        if whole <= 0.0 {
+    /// Records a pause of `observed_ms` during a prefill that would pause runs for
+    /// `uninterrupted_ms` if it was not interrupted.
+    pub fn record(&mut self, uninterrupted_ms: f64, observed_ms: f64) {
+        if uninterrupted_ms <= 0.0 {
             return;
         }
-        self.ratio.note(seen / whole, NEWEST_WEIGHT, LEAST_VARIANCE);
+        self.ratio.record(observed_ms / uninterrupted_ms, NEWEST_WEIGHT, MIN_VARIANCE);
     }
 
-    /// Share of the runs that pause for longer than `target` when the whole reading makes `whole`
-    /// ms; none where there is no target.
-    pub fn late_share(&self, whole: f64, target: f64) -> f64 {
-        if target <= 0.0 || whole <= 0.0 {
+    /// Share of the runs that pause for longer than `target_ms` if an uninterrupted prefill takes
+    /// `uninterrupted_ms`; 0 without a target_ms.
+    pub fn late_share(&self, uninterrupted_ms: f64, target_ms: f64) -> f64 {
+        if target_ms <= 0.0 || uninterrupted_ms <= 0.0 {
             return 0.0;
         }
-        self.ratio.share_above(target / whole)
+        self.ratio.probability_above(target_ms / uninterrupted_ms)
     }
 }
--- a/crates/bulrushusher_forward/src/rate_limit.rs
+++ b/crates/bulrushusher_forward/src/rate_limit.rs
@@ -1,9 +1,9 @@
-//! The rate limit that a runner names in its answers.
+//! The rate limit that a runner signals in its answers.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Requests a second that a runner takes from all gateways together.
+/// Requests per second that a runner accepts from all gateways together.
 ///
 /// ```
 /// use bulrushusher_forward::RateLimit;
@@ -14,13 +14,13 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct RateLimit(f64);
 
-/// A rate limit that cannot be read.
+/// The text is not a valid rate limit.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("a rate limit must be a decimal number of requests a second, 0 or more")]
+#[display("a rate limit must be a decimal number of requests per second, 0 or more")]
 pub struct RateLimitError;
 
 impl RateLimit {
-    /// Requests a second, 0 or more.
+    /// Requests per second, 0 or more.
     pub fn per_second(self) -> f64 {
         self.0
     }
--- a/crates/bulrushusher_forward/src/reading.rs
+++ b/crates/bulrushusher_forward/src/reading.rs
@@ -1,145 +1,154 @@
-//! Where the prompt of a generation is read.
+//! Where the prefill of a generation runs.
 
 use bulrushusher_time::Millis;
 
-use crate::{PauseModel, ReadPace};
+use crate::{PauseModel, PrefillTiming};
 
-/// Who reads a prompt.
+/// The runner that prefills a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reader {
-    /// The prefill runner that was looked at.
+pub enum PrefillSite {
+    /// The prefill runner under consideration.
     Prefill,
     /// The decode runner that holds memory for the run.
     Decode,
 }
 
-/// A prompt to be read, and how fast that goes.
+/// A prompt to prefill, with the estimates that decide where.
 #[derive(Clone, Copy, Debug)]
-pub struct Prompt {
-    /// Its tokens.
+pub struct PrefillTask {
+    /// Tokens of the prompt.
     pub tokens: u64,
-    /// Tokens waiting at the prefill runner with the fewest; `None` when there is none.
-    pub ahead: Option<u64>,
-    /// How fast an idle prefill runner reads.
-    pub at_prefill: ReadPace,
-    /// How fast a decode runner reads between the tokens of its runs.
-    pub at_decode: ReadPace,
+    /// Tokens queued at the least loaded prefill runner; `None` if there is no prefill runner.
+    pub queued_tokens: Option<u64>,
+    /// Prefill times of an idle prefill runner.
+    pub prefill_timing: PrefillTiming,
+    /// Prefill times of a decode runner that interleaves them with the tokens of its runs.
+    pub decode_timing: PrefillTiming,
     /// Time between two events of a run.
     pub event_gap: Millis,
-    /// The longest pause between events that is on time; zero for none.
+    /// Target for the longest pause between events; zero for no target.
     pub gap_target: Millis,
-    /// What readings did to runs so far.
+    /// Pauses that prefills cause for other runs.
     pub pauses: PauseModel,
-    /// How long generations take.
+    /// Mean duration of a generation.
     pub generation: Millis,
-    /// Time left to the response-time target.
-    pub left_on_time: Millis,
+    /// Time left until the response-time target.
+    pub time_to_target: Millis,
 }
 
-/// A decode runner that may read a prompt itself.
+/// Load of a decode runner that may prefill a prompt itself.
 #[derive(Clone, Copy, Debug)]
 pub struct DecodeLoad {
-    /// Tokens that it reads itself now.
-    pub reading: u64,
+    /// Prompt tokens that it is prefilling itself.
+    pub prefilling_tokens: u64,
     /// Other runs there.
     pub runs: usize,
-    /// Share of its memory that the runs there will need, as far as can be forecast: where all is
-    /// needed, what holds them up costs other callers their place.
+    /// Share of its memory that its runs are forecast to need. If all of it is needed, delaying
+    /// these runs costs other callers their place.
     pub fullness: f64,
 }
 
-/// Bounds of the choice.
+/// Limits of the decision.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadConfig {
-    /// Time from the end of the reading to the first event at the caller.
-    pub first_event: Millis,
-    /// Share of the time left up to which the line at a prefill runner is used by prompts that a
-    /// decode runner may read too; the rest is left to those that it may not.
-    pub shared_line: f64,
+pub struct PrefillSiteConfig {
+    /// Time from the end of the prefill to the first event at the caller.
+    pub first_event_delay: Millis,
+    /// Share of the remaining time up to which a prefill runner's queue accepts prompts that a
+    /// decode runner may prefill too; the rest is reserved for prompts that need a prefill runner.
+    pub shared_queue_share: f64,
 }
 
-impl Default for ReadConfig {
-    /// A first event takes some 80 ms after its prompt was read. Prompts that are too long for a
-    /// decode runner's pauses are a fifth of all.
-    fn default() -> ReadConfig {
-        ReadConfig { first_event: Millis(80), shared_line: 0.5 }
+impl Default for PrefillSiteConfig {
+    /// A first event takes some 80 ms after the prefill. A fifth of all prompts are too long for
+    /// the pause target of a decode runner's runs.
+    fn default() -> PrefillSiteConfig {
+        PrefillSiteConfig { first_event_delay: Millis(80), shared_queue_share: 0.5 }
     }
 }
 
-/// Most that a reading at a decode runner may cost, in generations: those that a pause makes late,
-/// and those whose time the runner spends on it while its memory is asked for. One more on time is
-/// worth one made late; the rest is room for what is not known.
-const MOST_COST: f64 = 0.4;
+/// Maximum cost of a prefill at a decode runner, in generations: runs that a pause makes late, and
+/// runs that could have used the time while its memory is in demand. One generation served on time
+/// offsets one made late; the difference to 1 is a margin for what is not known.
+const MAX_DECODE_COST: f64 = 0.4;
 
-/// The same where a prefill runner would read the prompt in time, and is only spared for longer ones:
-/// next to nothing. With more, a pool of 27 gateways lost 0.015 to 0.02 of its worth to pauses.
-const MOST_COST_TO_SPARE: f64 = 0.02;
+/// The same where a prefill runner would be in time too and is only kept free for longer prompts:
+/// close to zero. With more, a pool of 27 gateways lost 0.015 to 0.02 of its score to pauses.
+const MAX_DECODE_COST_TO_SPARE: f64 = 0.02;
 
-impl Prompt {
-    /// Time until the prefill runner has read the prompt, in ms.
-    fn ms_at_prefill(&self) -> Option<f64> {
-        self.ahead.map(|ahead| self.at_prefill.likely((ahead + self.tokens) as f64))
+impl PrefillTask {
+    /// Time in ms until the prefill runner has finished the prompt.
+    fn prefill_runner_ms(&self) -> Option<f64> {
+        self.queued_tokens
+            .map(|queued| self.prefill_timing.likely_ms((queued + self.tokens) as f64))
     }
 
-    /// True when a prefill runner reads it within `longest`.
-    pub fn prefill_is_in_time(&self, longest: Millis) -> bool {
-        self.ms_at_prefill().is_some_and(|ms| ms <= longest.0 as f64)
+    /// True if a prefill runner finishes the prompt within `longest`.
+    pub fn prefill_runner_is_in_time(&self, longest: Millis) -> bool {
+        self.prefill_runner_ms().is_some_and(|ms| ms <= longest.0 as f64)
     }
 
-    /// True when the decode runner may read the prompt: what that costs its other runs and those
-    /// that wait for their memory is less than the one that is served.
-    pub fn decode_may_read(&self, decode: DecodeLoad) -> bool {
-        self.cost_at_decode(decode) <= MOST_COST
+    /// True if the decode runner may prefill the prompt: the cost to its other runs and to requests
+    /// that wait for their memory is less than the benefit of the generation.
+    pub fn decode_may_prefill(&self, decode: DecodeLoad) -> bool {
+        self.cost_at_decode(decode) <= MAX_DECODE_COST
     }
 
-    /// What a reading at the decode runner costs, in generations.
+    /// Cost of the prefill at the decode runner, in generations.
     fn cost_at_decode(&self, decode: DecodeLoad) -> f64 {
-        let reading = (decode.reading + self.tokens) as f64 * self.at_decode.ms_per_token();
-        let pause = reading + self.event_gap.0 as f64;
+        let prefill_ms =
+            (decode.prefilling_tokens + self.tokens) as f64 * self.decode_timing.ms_per_token();
+        let pause = prefill_ms + self.event_gap.0 as f64;
         let late_share = self.pauses.late_share(pause, self.gap_target.0 as f64);
-        let held_up = decode.fullness.powi(4) * reading / self.generation.0.max(1) as f64;
-        decode.runs as f64 * (late_share + held_up)
+        let delayed = decode.fullness.powi(4) * prefill_ms / self.generation.0.max(1) as f64;
+        decode.runs as f64 * (late_share + delayed)
     }
 
-    /// Who reads the prompt of a run at that decode runner: a prefill runner, unless the line there
-    /// makes the first event late, the decode runner would read the prompt sooner, and its other
-    /// runs would not pause for too long.
+    /// Selects the runner that prefills the prompt: a prefill runner, unless its queue makes the
+    /// first event late, the decode runner would finish sooner, and the pauses of its other runs
+    /// stay acceptable.
     ///
     /// ```
-    /// use bulrushusher_forward::{DecodeLoad, PauseModel, Prompt, ReadConfig, ReadPace, Reader};
+    /// use bulrushusher_forward::{
+    ///     DecodeLoad, PauseModel, PrefillSite, PrefillSiteConfig, PrefillTask, PrefillTiming,
+    /// };
     /// use bulrushusher_time::Millis;
-    /// let prompt = Prompt {
+    /// let prompt = PrefillTask {
     ///     tokens: 5_000,
-    ///     ahead: Some(10_000),
-    ///     at_prefill: ReadPace::new(0.02),
-    ///     at_decode: ReadPace::new(0.04),
+    ///     queued_tokens: Some(10_000),
+    ///     prefill_timing: PrefillTiming::new(0.02),
+    ///     decode_timing: PrefillTiming::new(0.04),
     ///     event_gap: Millis(50),
     ///     gap_target: Millis(300),
     ///     pauses: PauseModel::default(),
     ///     generation: Millis(4_000),
-    ///     left_on_time: Millis(800),
+    ///     time_to_target: Millis(800),
     /// };
-    /// let busy = DecodeLoad { reading: 0, runs: 7, fullness: 0.5 };
-    /// let cfg = ReadConfig::default();
-    /// assert_eq!(prompt.reader(busy, cfg), Reader::Prefill, "300 ms are soon enough");
-    /// let late = Prompt { ahead: Some(40_000), ..prompt };
-    /// assert_eq!(late.reader(busy, cfg), Reader::Decode);
-    /// assert_eq!(late.reader(DecodeLoad { reading: 5_000, ..busy }, cfg), Reader::Prefill);
-    /// let longer = Prompt { tokens: 9_000, ..late };
-    /// assert_eq!(longer.reader(busy, cfg), Reader::Prefill, "seven runs would pause too long");
-    /// assert_eq!(longer.reader(DecodeLoad { runs: 0, ..busy }, cfg), Reader::Decode);
-    /// assert_eq!(Prompt { ahead: None, ..longer }.reader(busy, cfg), Reader::Decode);
+    /// let busy = DecodeLoad { prefilling_tokens: 0, runs: 7, fullness: 0.5 };
+    /// let cfg = PrefillSiteConfig::default();
+    /// assert_eq!(prompt.select_site(busy, cfg), PrefillSite::Prefill, "300 ms are in time");
+    /// let late = PrefillTask { queued_tokens: Some(40_000), ..prompt };
+    /// assert_eq!(late.select_site(busy, cfg), PrefillSite::Decode);
+    /// let busier = DecodeLoad { prefilling_tokens: 5_000, ..busy };
+    /// assert_eq!(late.select_site(busier, cfg), PrefillSite::Prefill);
+    /// let longer = PrefillTask { tokens: 9_000, ..late };
+    /// assert_eq!(longer.select_site(busy, cfg), PrefillSite::Prefill, "the runs pause too long");
+    /// assert_eq!(longer.select_site(DecodeLoad { runs: 0, ..busy }, cfg), PrefillSite::Decode);
+    /// let without_prefill = PrefillTask { queued_tokens: None, ..longer };
+    /// assert_eq!(without_prefill.select_site(busy, cfg), PrefillSite::Decode);
     /// ```
-    pub fn reader(&self, decode: DecodeLoad, cfg: ReadConfig) -> Reader {
-        let Some(at_prefill) = self.ms_at_prefill() else { return Reader::Decode };
-        let at_decode = self.at_decode.expected((decode.reading + self.tokens) as f64);
-        let left = self.left_on_time.since(cfg.first_event).0 as f64;
-        // Where the line at the prefill runner is long but soon enough, others' runs go first.
-        let most = if at_prefill > left { MOST_COST } else { MOST_COST_TO_SPARE };
-        let is_long = at_prefill > left * cfg.shared_line && at_decode < at_prefill;
-        match is_long && self.cost_at_decode(decode) <= most {
-            true => Reader::Decode,
-            false => Reader::Prefill,
+    pub fn select_site(&self, decode: DecodeLoad, cfg: PrefillSiteConfig) -> PrefillSite {
+        let Some(prefill_runner_ms) = self.prefill_runner_ms() else { return PrefillSite::Decode };
+        let decode_runner_ms =
+            self.decode_timing.expected_ms((decode.prefilling_tokens + self.tokens) as f64);
+        let left = self.time_to_target.since(cfg.first_event_delay).0 as f64;
+        // If the prefill runner's queue is long but still in time, other runs take precedence.
+        let max_cost =
+            if prefill_runner_ms > left { MAX_DECODE_COST } else { MAX_DECODE_COST_TO_SPARE };
+        let queue_is_long = prefill_runner_ms > left * cfg.shared_queue_share
+            && decode_runner_ms < prefill_runner_ms;
+        match queue_is_long && self.cost_at_decode(decode) <= max_cost {
+            true => PrefillSite::Decode,
+            false => PrefillSite::Prefill,
         }
     }
 }
--- a/crates/bulrushusher_forward/src/repeat.rs
+++ b/crates/bulrushusher_forward/src/repeat.rs
@@ -1,4 +1,4 @@
-//! What may follow an attempt: an answer, another attempt, a refusal or a failure.
+//! What may follow an attempt: an answer, a retry, a refusal or an error.
 
 use bulrushusher_routing::RetryBudget;
 
@@ -7,33 +7,33 @@
 /// How an attempt at a runner ended without a usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Nothing of the request was written to the runner.
+    /// No part of the request was written to the runner.
     Unsent,
-    /// The runner said that it did not run the request.
+    /// The runner answered that it did not run the request.
     NotRun,
-    /// The runner's answer says that the run failed; it can be passed on.
+    /// The runner answered that the run failed; its answer can be forwarded.
     RunFailed,
-    /// The request was written and there is no whole answer: it may have run.
+    /// The request was written but no complete answer arrived; it may have run.
     Unknown,
 }
 
-/// What to do next.
+/// The step after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Send it to another runner.
+    /// Send the request to another runner.
     TryAgain,
-    /// Pass the runner's own failure on.
+    /// Forward the runner's own error.
     PassOn,
     /// End the request.
     Finish(FinalAnswer),
 }
 
-/// The router's own answer to a request that got none from a runner.
+/// The gateway's own answer to a request without a runner's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// It has not run and never will.
+    /// The request did not run and will not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     OutcomeUnknown,
 }
 
@@ -44,8 +44,8 @@
 /// use bulrushusher_routing::{RetryBudget, RetryConfig};
 /// let mut budget = RetryBudget::new(RetryConfig::default());
 /// let mut plan = AttemptPlan::new(RouteKind::NonIdempotent, 2);
-/// assert_eq!(plan.after(AttemptEnd::NotRun, &mut budget), NextStep::TryAgain);
-/// let end = plan.after(AttemptEnd::Unknown, &mut budget);
+/// assert_eq!(plan.next_step(AttemptEnd::NotRun, &mut budget), NextStep::TryAgain);
+/// let end = plan.next_step(AttemptEnd::Unknown, &mut budget);
 /// assert_eq!(end, NextStep::Finish(FinalAnswer::OutcomeUnknown));
 /// ```
 #[derive(Clone, Copy, Debug)]
@@ -56,23 +56,23 @@
     may_have_run: bool,
 }
 
-/// Most sends of one request, rejected ones included: a pool that rejects three times in a row is
-/// full, and the caller is better off coming back.
-const MOST_SENDS: u32 = 3;
+/// Maximum number of sends of one request, including refused ones: a pool that refuses three times
+/// in a row is full, and the caller should come back later.
+const MAX_SENDS: u32 = 3;
 
 impl AttemptPlan {
-    /// A request of that kind that may run on `most_runners` runners.
-    pub fn new(kind: RouteKind, most_runners: u32) -> AttemptPlan {
+    /// A request of this kind that may run on at most `max_runners` runners.
+    pub fn new(kind: RouteKind, max_runners: u32) -> AttemptPlan {
         AttemptPlan {
             kind,
-            runs_left: most_runners.max(1),
-            sends_left: MOST_SENDS,
+            runs_left: max_runners.max(1),
+            sends_left: MAX_SENDS,
             may_have_run: false,
         }
     }
 
-    /// What may follow an attempt that ended so. Takes from the budget what another send costs.
-    pub fn after(&mut self, end: AttemptEnd, budget: &mut RetryBudget) -> NextStep {
+    /// The step after an attempt with this end. Takes the cost of a retry from the budget.
+    pub fn next_step(&mut self, end: AttemptEnd, budget: &mut RetryBudget) -> NextStep {
         self.sends_left = self.sends_left.saturating_sub(1);
         let again = match end {
             AttemptEnd::Unsent => self.sends_left > 0,
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Gives an attempt up that is late, where another one may follow and the budget allows it; otherwise
-    /// nothing changes, and the attempt goes on.
+    /// Abandons a late attempt if a retry may follow and the budget allows it. Otherwise nothing
+    /// changes and the attempt continues.
     ///
     /// ```
     /// use bulrushusher_forward::{AttemptPlan, RouteKind};
@@ -100,23 +100,23 @@
     /// let mut plan = AttemptPlan::new(RouteKind::Idempotent, 2);
     /// assert!(!plan.abandon(&mut RetryBudget::new(none)));
     /// let mut budget = RetryBudget::new(RetryConfig::default());
-    /// assert!(plan.abandon(&mut budget) && !plan.abandon(&mut budget), "it may run at two runners");
+    /// assert!(plan.abandon(&mut budget) && !plan.abandon(&mut budget), "two runners at most");
     /// ```
     pub fn abandon(&mut self, budget: &mut RetryBudget) -> bool {
-        let given_up = AttemptPlan {
+        let abandoned = AttemptPlan {
             runs_left: self.runs_left.saturating_sub(1),
             sends_left: self.sends_left.saturating_sub(1),
             may_have_run: true,
             ..*self
         };
-        let may_follow = given_up.may_run_again() && budget.take();
+        let may_follow = abandoned.may_run_again() && budget.take();
         if may_follow {
-            *self = given_up;
+            *self = abandoned;
         }
         may_follow
     }
 
-    /// What can truly be said of the request now.
+    /// What is certain about the request so far.
     pub fn final_answer(&self) -> FinalAnswer {
         match self.may_have_run {
             true => FinalAnswer::OutcomeUnknown,
@@ -124,7 +124,7 @@
         }
     }
 
-    /// True when a request that may have run may run once more, budget aside.
+    /// True if a request that may have run may run once more, regardless of the budget.
     pub fn may_run_again(&self) -> bool {
         self.kind.may_repeat() && self.runs_left > 0 && self.sends_left > 0
     }
--- a/crates/bulrushusher_forward/src/report.rs
+++ b/crates/bulrushusher_forward/src/report.rs
@@ -39,10 +39,10 @@
             number: 0,
             runner,
             prompt: shape.prompt as u64,
-            made: shape.made as u64,
-            made_before: shape.made as u64,
+            made: shape.generated as u64,
+            made_before: shape.generated as u64,
             expected: shape.expected as u64,
-            most: shape.most as u64,
+            most: shape.max_output as u64,
             begun: false,
             reads_itself: false,
         }
@@ -58,9 +58,9 @@
         let most = self.most as f64;
         RunShape {
             prompt: self.prompt as f64,
-            made: (self.made as f64 + grown).min((most - 1.0).max(0.0)),
+            generated: (self.made as f64 + grown).min((most - 1.0).max(0.0)),
             expected: self.expected as f64,
-            most,
+            max_output: most,
         }
     }
 
@@ -166,7 +166,7 @@
 ///
 /// ```
 /// use bulrushusher_forward::{GatewayChanges, GatewayReport, RunNote, RunShape};
-/// let run = RunShape { prompt: 5_000.0, made: 0.0, expected: 3_000.0, most: 9_000.0 };
+/// let run = RunShape { prompt: 5_000.0, generated: 0.0, expected: 3_000.0, max_output: 9_000.0 };
 /// let note = RunNote { number: 1, ..RunNote::new("i-1".try_into().unwrap(), run) };
 /// let before = GatewayReport { number: 1, runs: vec![note.clone()], ..GatewayReport::default() };
 /// let grown = GatewayReport {
--- a/crates/bulrushusher_forward/src/returns.rs
+++ b/crates/bulrushusher_forward/src/returns.rs
@@ -1,108 +1,109 @@
-//! Tells callers that come back from those that come for the first time, and when to come back.
+//! Distinguishes returning callers from first-time callers, and sets the time after which refused
+//! callers retry.
 
 use std::collections::{HashMap, VecDeque};
 
 use bulrushusher_time::Millis;
 use bulrushusher_world::RouteName;
 
-/// When refused callers are told to come back.
+/// Retry-After time for refused callers.
 #[derive(Clone, Copy, Debug)]
-pub struct ReturnConfig {
+pub struct RetryAfterConfig {
     /// The time to wait.
-    pub after: Millis,
-    /// Share of it over which returns are spread.
+    pub delay: Millis,
+    /// Share of the time over which retries are spread.
     pub spread: f64,
 }
 
-/// The patience that callers of each route usually have.
+/// The typical patience of callers, by route. Patience is the time that a caller is still willing
+/// to wait.
 ///
-/// A caller that comes back has less patience left than one that comes for the first time, by the
-/// time that has passed since. Some callers wait far longer than most, so the longest patience says
-/// little: what counts is what a good part of the last callers had at least. As each caller comes
-/// back once or twice at most, that part is on its first visit.
+/// A returning caller has less patience left than a first-time caller, by the time that has passed
+/// since. Some callers wait far longer than most, so the maximum is no good estimate; a percentile
+/// of the recent callers is used. As callers return once or twice at most, those at the percentile
+/// are first-time callers.
 ///
 /// ```
-/// use bulrushusher_forward::{ReturnConfig, UsualPatience};
+/// use bulrushusher_forward::{RetryAfterConfig, TypicalPatience};
 /// use bulrushusher_time::Millis;
 /// let route = "digest".try_into().unwrap();
-/// let returns = ReturnConfig { after: Millis(4_000), spread: 0.2 };
-/// let mut usual = UsualPatience::default();
-/// usual.elapsed(&route, Millis(60_000), &returns);
+/// let retry = RetryAfterConfig { delay: Millis(4_000), spread: 0.2 };
+/// let mut typical = TypicalPatience::default();
+/// typical.elapsed(&route, Millis(60_000), &retry);
 /// for _ in 0..20 {
-///     usual.elapsed(&route, Millis(14_000), &returns);
+///     typical.elapsed(&route, Millis(14_000), &retry);
 /// }
-/// let mut elapsed = |patience| usual.elapsed(&route, Millis(patience), &returns);
-/// assert_eq!(elapsed(14_000), Millis(0), "what counts is not the patience of one");
-/// assert_eq!(elapsed(12_600), Millis(0), "nobody was told to come back so soon");
+/// let mut elapsed = |patience| typical.elapsed(&route, Millis(patience), &retry);
+/// assert_eq!(elapsed(14_000), Millis(0), "one patient caller has no effect");
+/// assert_eq!(elapsed(12_600), Millis(0), "too soon for a retry");
 /// assert_eq!(elapsed(9_500), Millis(4_500));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct UsualPatience {
+pub struct TypicalPatience {
     routes: HashMap<RouteName, VecDeque<Millis>>,
 }
 
-/// Routes remembered; a configuration has some hundred.
+/// Maximum number of routes; a configuration has about a hundred.
 const MAX_ROUTES: usize = 4_096;
 
-/// Callers of a route remembered: some seconds of them, so that a change is followed soon.
-const REMEMBERED: usize = 100;
+/// Recent callers kept per route: a few seconds of traffic, so that changes are followed quickly.
+const CALLERS_PER_ROUTE: usize = 100;
 
-/// The usual patience is that which this share of the callers does not exceed. At least half of all
-/// calls are first ones, and they are the upper half.
-const USUAL_SHARE: f64 = 0.7;
+/// Percentile of the callers' patience that counts as typical. At least half of all calls are first
+/// attempts, and these are the upper half.
+const TYPICAL_PERCENTILE: f64 = 0.7;
 
-/// Share of the time to come back before which a caller is taken for one on its first visit.
-const SOONEST_RETURN: f64 = 0.6;
+/// Share of the Retry-After time before which a caller is considered a first-time caller.
+const MIN_RETURN_SHARE: f64 = 0.6;
 
-impl UsualPatience {
-    /// Time since the caller's first attempt, as far as its patience tells.
-    /// Less than a part of the time after which callers are told to come back is none: their
-    /// patience differs by as much.
+impl TypicalPatience {
+    /// Time since the caller's first attempt, estimated from its patience. Zero if it is less than
+    /// a part of the Retry-After time: the patience of first-time callers varies by as much.
     pub fn elapsed(
         &mut self,
         route: &RouteName,
         patience: Millis,
-        returns: &ReturnConfig,
+        retry: &RetryAfterConfig,
     ) -> Millis {
         if self.routes.len() >= MAX_ROUTES && !self.routes.contains_key(route) {
             self.routes.clear();
         }
-        let last = self.routes.entry(route.clone()).or_default();
-        last.push_back(patience);
-        if last.len() > REMEMBERED {
-            last.pop_front();
+        let recent = self.routes.entry(route.clone()).or_default();
+        recent.push_back(patience);
+        if recent.len() > CALLERS_PER_ROUTE {
+            recent.pop_front();
         }
-        let usual = usual(last);
-        let elapsed = usual.since(patience);
-        let soonest = returns.come_back(usual, 0.5).0 as f64 * SOONEST_RETURN;
-        if (elapsed.0 as f64) < soonest { Millis(0) } else { elapsed }
+        let typical = typical_patience(recent);
+        let elapsed = typical.since(patience);
+        let min_elapsed = retry.retry_after(typical, 0.5).0 as f64 * MIN_RETURN_SHARE;
+        if (elapsed.0 as f64) < min_elapsed { Millis(0) } else { elapsed }
     }
 }
 
-fn usual(last: &VecDeque<Millis>) -> Millis {
-    let mut sorted: Vec<Millis> = last.iter().copied().collect();
-    let at = ((sorted.len() - 1) as f64 * USUAL_SHARE) as usize;
+fn typical_patience(recent: &VecDeque<Millis>) -> Millis {
+    let mut sorted: Vec<Millis> = recent.iter().copied().collect();
+    let at = ((sorted.len() - 1) as f64 * TYPICAL_PERCENTILE) as usize;
     *sorted.select_nth_unstable(at).1
 }
 
-/// Callers heed a time to come back of up to a third of the patience that they have left.
-const HEEDED_SHARE: f64 = 0.33;
+/// Share of their remaining patience up to which callers honour a Retry-After.
+const MAX_HONOURED_SHARE: f64 = 0.33;
 
-impl ReturnConfig {
-    /// When a caller should come back that has `left` of its patience; `draw` in `0.0..1.0`
-    /// spreads the returns.
+impl RetryAfterConfig {
+    /// When a caller with the patience `left` should retry; `draw` in `0.0..1.0` spreads the
+    /// retries.
     ///
     /// ```
-    /// use bulrushusher_forward::ReturnConfig;
+    /// use bulrushusher_forward::RetryAfterConfig;
     /// use bulrushusher_time::Millis;
-    /// let returns = ReturnConfig { after: Millis(4_000), spread: 0.2 };
-    /// assert_eq!(returns.come_back(Millis(14_000), 0.5), Millis(4_000));
-    /// assert_eq!(returns.come_back(Millis(3_000), 0.5), Millis(990));
+    /// let retry = RetryAfterConfig { delay: Millis(4_000), spread: 0.2 };
+    /// assert_eq!(retry.retry_after(Millis(14_000), 0.5), Millis(4_000));
+    /// assert_eq!(retry.retry_after(Millis(3_000), 0.5), Millis(990));
     /// ```
-    pub fn come_back(&self, left: Millis, draw: f64) -> Millis {
+    pub fn retry_after(&self, left: Millis, draw: f64) -> Millis {
         let spread = 1.0 + self.spread * (draw - 0.5);
-        let wished = (self.after.0 as f64 * spread) as u64;
-        let heeded = (left.0 as f64 * HEEDED_SHARE) as u64;
-        Millis(wished.min(heeded))
+        let desired = (self.delay.0 as f64 * spread) as u64;
+        let max_honoured = (left.0 as f64 * MAX_HONOURED_SHARE) as u64;
+        Millis(desired.min(max_honoured))
     }
 }
--- a/crates/bulrushusher_forward/src/stages.rs
+++ b/crates/bulrushusher_forward/src/stages.rs
@@ -1,7 +1,9 @@
-//! How many runners of a service read prompts and how many generate, and which one changes next.
+//! Ratio of prefill to decode runners of a service, and the selection of runners
+//! that change stage.
 //!
-//! Runners hold a change for seconds, so the ratio follows the standing mix of requests and not
-//! single bursts, and a change is ordered only when the ratio is off by more than half a runner.
+//! A stage change takes a runner out of service for seconds. The ratio therefore follows the
+//! sustained mix of requests instead of single bursts, and a change is ordered only if the ratio is
+//! off by more than half a runner.
 
 use std::collections::BTreeMap;
 
@@ -10,68 +12,67 @@
 
 use crate::{Runner, Stage};
 
-/// The wanted ratio.
+/// Target ratio of prefill to decode runners.
 #[derive(Clone, Copy, Debug)]
 pub struct StagesConfig {
-    /// Share of a service's runners that prompts keep busy in the mean; 0 leaves every stage as it
-    /// is.
+    /// Share of a service's runners that prefills keep busy on average; 0 disables stage changes.
     pub prefill_share: f64,
-    /// Added to that for bursts, in square roots of the number of runners.
+    /// Headroom for bursts, as a multiple of the square root of the number of runners.
     pub prefill_margin: f64,
-    /// Fewest runners that read prompts.
-    pub least_prefill: usize,
-    /// How far the number may be off, in runners, before a change is ordered.
+    /// Minimum number of prefill runners.
+    pub min_prefill: usize,
+    /// Deviation from the target, in runners, up to which no change is ordered.
     pub slack: f64,
-    /// How long the ratio must be off before a change is ordered.
-    pub off_for: Millis,
+    /// How long the deviation must persist before a change is ordered.
+    pub min_imbalance_time: Millis,
 }
 
 impl Default for StagesConfig {
-    /// Prompts of some 5,000 tokens at one a second for each runner keep a tenth of the runners
-    /// busy. Bursts and crashes even out over more runners, so that the margin grows with the
-    /// square root only: three of 12 are best (two served a day of crashes half as well), and 8 of
-    /// 49 (mean worth of the days of two deployments 0.51, with 6 0.47, 10 0.50, 12 0.48). Runners
-    /// that crash are back within some seconds, so what is off for a shorter time mends itself.
+    /// At one prompt of some 5,000 tokens per second and runner, prefills keep a tenth of the
+    /// runners busy. Bursts and crashes average out over more runners, so the headroom grows only
+    /// with the square root: 3 of 12 runners are best (2 served a day with crashes half as well),
+    /// and 8 of 49 (mean score over the days of two deployments 0.51; 6 scored 0.47, 10 0.50, 12
+    /// 0.48). Crashed runners are back within seconds, so shorter deviations correct themselves.
     fn default() -> StagesConfig {
         StagesConfig {
             prefill_share: 0.1,
             prefill_margin: 0.48,
-            least_prefill: 2,
+            min_prefill: 2,
             slack: 0.6,
-            off_for: Millis(8_000),
+            min_imbalance_time: Millis(8_000),
         }
     }
 }
 
 impl StagesConfig {
-    /// How many of so many runners should read prompts.
+    /// Target number of prefill runners in a pool of `runners`.
     ///
     /// ```
     /// use bulrushusher_forward::StagesConfig;
     /// let cfg = StagesConfig::default();
-    /// assert_eq!(cfg.wanted_prefill(12).round(), 3.0);
-    /// assert_eq!(cfg.wanted_prefill(49).round(), 8.0);
-    /// assert_eq!(cfg.wanted_prefill(3), 1.0, "half of the runners at the most");
+    /// assert_eq!(cfg.target_prefill(12).round(), 3.0);
+    /// assert_eq!(cfg.target_prefill(49).round(), 8.0);
+    /// assert_eq!(cfg.target_prefill(3), 1.0, "half of the runners at most");
     /// ```
-    pub fn wanted_prefill(&self, runners: usize) -> f64 {
+    pub fn target_prefill(&self, runners: usize) -> f64 {
         let all = runners as f64;
-        let wanted = all * self.prefill_share + all.sqrt() * self.prefill_margin;
-        let most = (runners / 2) as f64;
-        wanted.max(self.least_prefill as f64).min(most)
+        let target = all * self.prefill_share + all.sqrt() * self.prefill_margin;
+        let max_prefill = (runners / 2) as f64;
+        target.max(self.min_prefill as f64).min(max_prefill)
     }
 }
 
-/// A change that should be ordered.
+/// A stage change to order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StageChange {
-    /// The runner.
+    /// The runner to change.
     pub runner: Runner,
-    /// Its stage to be.
+    /// Its new stage.
     pub stage: Stage,
 }
 
-/// The change that brings the ratio nearer to the wanted one, if it is off. `ordered` names the
-/// runners whose change is under way.
+/// The next change that brings the ratio closer to the target, if it is off. `ordered` maps runners
+/// with a pending change to their new stage.
 ///
 /// ```
 /// use bulrushusher_forward::{Runner, Stage, StagesConfig, next_stage_change};
@@ -98,133 +99,141 @@
     if cfg.prefill_share <= 0.0 {
         return None;
     }
-    let staged: Vec<(&Runner, Stage)> = runners
+    let with_stage: Vec<(&Runner, Stage)> = runners
         .iter()
         .filter_map(|runner| {
             let stage = ordered.get(&runner.id).copied().or(runner.stage)?;
             Some((runner, stage))
         })
         .collect();
-    let prefill = staged.iter().filter(|(_, stage)| *stage == Stage::Prefill).count();
-    let wanted = cfg.wanted_prefill(staged.len());
-    let stage = if prefill as f64 > wanted + cfg.slack {
+    let prefill = with_stage.iter().filter(|(_, stage)| *stage == Stage::Prefill).count();
+    let target = cfg.target_prefill(with_stage.len());
+    let stage = if prefill as f64 > target + cfg.slack {
         Stage::Decode
-    } else if (prefill as f64) < wanted - cfg.slack {
+    } else if (prefill as f64) < target - cfg.slack {
         Stage::Prefill
     } else {
         return None;
     };
-    let runner = most_crowded(&staged, stage, ordered)?;
+    let runner = runner_to_change(&with_stage, stage, ordered)?;
     Some(StageChange { runner: runner.clone(), stage })
 }
 
-/// A runner that may change to `to`, from the data centre with the most like it, so that both
-/// halves stay spread. All gateways that see the same list find the same one.
-fn most_crowded<'a>(
-    staged: &[(&'a Runner, Stage)],
+/// A runner that may change to `to`, taken from the data centre with the most runners of the other
+/// stage, which keeps both stages spread over the data centres. Gateways with the same list select
+/// the same runner.
+fn runner_to_change<'a>(
+    with_stage: &[(&'a Runner, Stage)],
     to: Stage,
     ordered: &BTreeMap<RunnerId, Stage>,
 ) -> Option<&'a Runner> {
-    let mut alike: BTreeMap<&DataCentreName, usize> = BTreeMap::new();
-    for (runner, _) in staged.iter().filter(|(_, stage)| *stage != to) {
-        *alike.entry(&runner.data_centre).or_default() += 1;
+    let mut per_data_centre: BTreeMap<&DataCentreName, usize> = BTreeMap::new();
+    for (runner, _) in with_stage.iter().filter(|(_, stage)| *stage != to) {
+        *per_data_centre.entry(&runner.data_centre).or_default() += 1;
     }
-    staged
+    with_stage
         .iter()
         .filter(|(runner, stage)| *stage != to && !ordered.contains_key(&runner.id))
         .map(|(runner, _)| *runner)
-        .max_by_key(|runner| (alike.get(&runner.data_centre), std::cmp::Reverse(&runner.id)))
+        .max_by_key(|runner| {
+            (per_data_centre.get(&runner.data_centre), std::cmp::Reverse(&runner.id))
+        })
 }
 
-/// Bounds of the duty to give orders.
+/// Timing of the order lease.
 #[derive(Clone, Copy, Debug)]
-pub struct DutyConfig {
-    /// Least time between orders of two holders, counted at the runners.
+pub struct OrderLeaseConfig {
+    /// Minimum time between orders of two holders, measured at the runners.
     pub lease: Millis,
-    /// Longest time between the write that allows an order and the order's arrival.
-    pub order_within: Millis,
+    /// Maximum time from the write that permits an order to the arrival of the order.
+    pub max_order_delay: Millis,
 }
 
-/// Whether this process may write the record of the duty, which allows it one order.
+/// Decides whether this gateway may write the lease record, which permits it one order.
 ///
-/// There is no heartbeat: every order is preceded by a conditional write of the record, whose new
-/// revision is the order's fencing token. A process that did not write last waits until the record
-/// has stood unchanged for the lease and the time of an order on its own clock, so that orders of
-/// two holders are never closer than the lease, also when one was paused.
+/// There is no heartbeat: every order is preceded by a conditional write of the record, and the new
+/// revision is the fencing token of the order. A gateway that was not the last writer waits until
+/// the record has been unchanged on its own clock for twice the lease plus the maximum delay of an
+/// order. Orders of two holders are therefore never closer together than the lease, even if one of
+/// them was paused.
 ///
 /// ```
-/// use bulrushusher_forward::{DutyConfig, StageDuty};
+/// use bulrushusher_forward::{OrderLease, OrderLeaseConfig};
 /// use bulrushusher_time::Millis;
-/// let cfg = DutyConfig { lease: Millis(3_000), order_within: Millis(500) };
-/// let mut duty = StageDuty::new(cfg);
-/// assert!(!duty.may_write(Some(7), Millis(1_000)), "another one may be ordering");
-/// assert!(!duty.may_write(Some(7), Millis(4_000)));
-/// assert!(duty.may_write(Some(7), Millis(7_600)));
-/// duty.written(8);
-/// assert!(duty.may_write(Some(8), Millis(7_700)), "it wrote last itself");
+/// let cfg = OrderLeaseConfig { lease: Millis(3_000), max_order_delay: Millis(500) };
+/// let mut lease = OrderLease::new(cfg);
+/// assert!(!lease.may_write(Some(7), Millis(1_000)), "another gateway may be sending orders");
+/// assert!(!lease.may_write(Some(7), Millis(4_000)));
+/// assert!(lease.may_write(Some(7), Millis(7_600)));
+/// lease.record_write(8);
+/// assert!(lease.may_write(Some(8), Millis(7_700)), "it was the last writer");
 /// ```
 #[derive(Clone, Debug)]
-pub struct StageDuty {
-    cfg: DutyConfig,
+pub struct OrderLease {
+    cfg: OrderLeaseConfig,
     own_revision: Option<u64>,
-    seen: Option<(u64, Millis)>,
-    /// When the store was seen to have come back from an older copy, which may lack the record.
+    /// The revision read last, and when it was first read.
+    last_read: Option<(u64, Millis)>,
+    /// When the store was found to be restored from an older copy, which may lack the record.
     restored_at: Option<Millis>,
 }
 
-impl StageDuty {
-    /// Nothing was seen of the record yet.
-    pub fn new(cfg: DutyConfig) -> StageDuty {
-        StageDuty { cfg, own_revision: None, seen: None, restored_at: None }
+impl OrderLease {
+    /// Creates the state of a gateway that has not read the record yet.
+    pub fn new(cfg: OrderLeaseConfig) -> OrderLease {
+        OrderLease { cfg, own_revision: None, last_read: None, restored_at: None }
     }
 
-    /// The store came back from an older copy: whoever wrote the record last may have ordered a moment ago.
+    /// The store was restored from an older copy, so the previous holder may have sent an order
+    /// just before.
     ///
     /// ```
-    /// use bulrushusher_forward::{DutyConfig, StageDuty};
+    /// use bulrushusher_forward::{OrderLease, OrderLeaseConfig};
     /// use bulrushusher_time::Millis;
-    /// let cfg = DutyConfig { lease: Millis(3_000), order_within: Millis(500) };
-    /// let mut duty = StageDuty::new(cfg);
-    /// assert!(duty.may_write(None, Millis(0)), "nobody ever ordered");
-    /// duty.written(7);
-    /// duty.note_restore(Millis(1_000));
-    /// assert!(!duty.may_write(None, Millis(2_000)), "a record may be lost");
-    /// assert!(duty.may_write(None, Millis(7_500)));
+    /// let cfg = OrderLeaseConfig { lease: Millis(3_000), max_order_delay: Millis(500) };
+    /// let mut lease = OrderLease::new(cfg);
+    /// assert!(lease.may_write(None, Millis(0)), "no order was ever sent");
+    /// lease.record_write(7);
+    /// lease.record_restore(Millis(1_000));
+    /// assert!(!lease.may_write(None, Millis(2_000)), "the record may be lost");
+    /// assert!(lease.may_write(None, Millis(7_500)));
     /// ```
-    pub fn note_restore(&mut self, now: Millis) {
+    pub fn record_restore(&mut self, now: Millis) {
         self.own_revision = None;
-        self.seen = None;
+        self.last_read = None;
         self.restored_at = Some(now);
     }
 
-    /// True when the record, which was just read at `revision`, may be written now. `None` is a
-    /// record that nobody ever wrote, or that was lost: nobody has given orders for a while.
+    /// True if the record, just read at `revision`, may be written now. `None` means that the
+    /// record was never written or was lost; the lease is then free.
     pub fn may_write(&mut self, revision: Option<u64>, now: Millis) -> bool {
-        if self.restored_at.is_some_and(|at| now.since(at) < self.quiet()) {
+        if self.restored_at.is_some_and(|at| now.since(at) < self.required_quiet_time()) {
             return false;
         }
         let Some(revision) = revision else { return true };
         if self.own_revision == Some(revision) {
             return true;
         }
-        match self.seen {
-            Some((seen, since)) if seen == revision => now.since(since) >= self.quiet(),
+        match self.last_read {
+            Some((read, since)) if read == revision => {
+                now.since(since) >= self.required_quiet_time()
+            }
             _ => {
-                self.seen = Some((revision, now));
+                self.last_read = Some((revision, now));
                 false
             }
         }
     }
 
-    /// This process wrote the record.
-    pub fn written(&mut self, revision: u64) {
+    /// Records that this gateway wrote the record, at `revision`.
+    pub fn record_write(&mut self, revision: u64) {
         self.own_revision = Some(revision);
-        self.seen = None;
+        self.last_read = None;
     }
 
-    /// How long the record must stand unchanged; twice the lease leaves room for an order that
-    /// was held up on its way.
-    fn quiet(&self) -> Millis {
-        Millis(self.cfg.lease.0 * 2).plus(self.cfg.order_within)
+    /// How long the record must stay unchanged. Twice the lease leaves room for an order that is
+    /// delayed on its way.
+    fn required_quiet_time(&self) -> Millis {
+        Millis(self.cfg.lease.0 * 2).plus(self.cfg.max_order_delay)
     }
 }
--- a/crates/bulrushusher_forward/src/waiting.rs
+++ b/crates/bulrushusher_forward/src/waiting.rs
@@ -1,184 +1,198 @@
-//! The line of generations that wait for decode memory, and when waiting is given up.
+//! Queue of generations that wait for decode memory, and the limits of the wait.
 
 use std::collections::{BTreeSet, HashMap};
 
 use bulrushusher_time::Millis;
 use bulrushusher_world::ClientAccountName;
 
-/// Who goes first among requests of one rank.
+/// Order of requests with the same priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LineOrder {
-    /// Whoever came first.
+pub enum QueueOrder {
+    /// First come, first served.
     Arrival,
-    /// Client accounts by turns, weighed by what their requests count as: one that sends many waits behind
-    /// its own.
+    /// Fair queueing over client accounts, weighted by the cost of their requests: an account with
+    /// many requests delays only its own.
     Account,
 }
 
-/// Whose a waiting request is, and what it counts as.
+/// Account and cost of a queued request.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Claim<'a> {
-    /// The client account; all requests without one share their turns.
+pub struct AccountCost<'a> {
+    /// The client account; requests without one form a single flow.
     pub account: Option<&'a ClientAccountName>,
-    /// What it counts as among those of its account.
+    /// Cost of the request within its account's share.
     pub cost: u64,
 }
 
-/// How long requests wait.
+/// Order and time limits of the queue.
 #[derive(Clone, Copy, Debug)]
-pub struct WaitingConfig {
-    /// Who goes first.
-    pub order: LineOrder,
-    /// Share of its response-time target that a request waits before it is refused.
+pub struct WaitQueueConfig {
+    /// Order of requests with the same priority.
+    pub order: QueueOrder,
+    /// Share of its response-time target that a request may wait before it is refused.
     pub target_share: f64,
-    /// How long a request waits whose target is past already.
+    /// How long a request may wait whose target has already passed.
     pub late_wait: Millis,
-    /// How many at the head of the line ask for memory at the same time.
-    pub askers: usize,
+    /// How many requests at the head of the queue may request memory concurrently.
+    pub concurrency: usize,
 }
 
-impl Default for WaitingConfig {
-    /// Half of the target leaves the other half for the prompt and the first event. Under steady
-    /// overload it served a third more generations on time than an eighth did, as memory that
-    /// comes free then goes to one that can still use it. A late caller gains nothing by leaving,
-    /// and stays under the time after which callers abandon a stream. Two askers keep one slow
-    /// runner from blocking the line.
-    fn default() -> WaitingConfig {
-        WaitingConfig {
-            order: LineOrder::Account,
+impl Default for WaitQueueConfig {
+    /// Half of the target leaves the other half for the prefill and the first event. Under
+    /// sustained overload this served a third more generations on time than an eighth did, because
+    /// freed memory then goes to a request that can still use it. A late caller gains nothing from
+    /// an early refusal; its limit is below the time after which callers abandon a stream. Two
+    /// concurrent requests keep one slow runner from blocking the queue.
+    fn default() -> WaitQueueConfig {
+        WaitQueueConfig {
+            order: QueueOrder::Account,
             target_share: 0.5,
             late_wait: Millis(2_500),
-            askers: 2,
+            concurrency: 2,
         }
     }
 }
 
-/// Whether a gateway asks for memory now, while generations wait at `others` too and `open` runners
-/// seem to have room.
+/// Whether this gateway requests memory now, while generations also wait at `others` gateways and
+/// `open` runners appear to have room.
 ///
-/// Memory that comes free is seen by all of them at once. If all took it, the runner's memory would
-/// be given away several times before their reports crossed; so each asks with its share of the
-/// chance, and on the whole one asks at each open runner. `draw` is random in `0.0..1.0`.
+/// All gateways see freed memory at once. If each of them requested it, a runner's memory would be
+/// given out several times before their reports are exchanged. So each one requests with a
+/// probability of its share, and on average one gateway requests per open runner. `draw` is a
+/// random number in `0.0..1.0`.
 ///
 /// ```
-/// use bulrushusher_forward::asks_now;
-/// assert!(asks_now(0.9, 0, 1), "nobody else waits");
-/// assert!(!asks_now(0.9, 4, 1) && asks_now(0.1, 4, 1));
-/// assert!(asks_now(0.9, 4, 5), "there is one for each");
-/// assert!(!asks_now(0.0, 0, 0), "there is nothing to ask for");
+/// use bulrushusher_forward::should_request_memory;
+/// assert!(should_request_memory(0.9, 0, 1), "no other gateway waits");
+/// assert!(!should_request_memory(0.9, 4, 1) && should_request_memory(0.1, 4, 1));
+/// assert!(should_request_memory(0.9, 4, 5), "there is a runner for each gateway");
+/// assert!(!should_request_memory(0.0, 0, 0), "no runner has room");
 /// ```
-pub fn asks_now(draw: f64, others: usize, open: usize) -> bool {
+pub fn should_request_memory(draw: f64, others: usize, open: usize) -> bool {
     draw * (others as f64 + 1.0) < open as f64
 }
 
-/// Place in the line: lower goes first.
+/// Position in the queue; lower goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Rank {
-    /// False for requests that can still meet their target; they go first.
+pub struct QueueRank {
+    /// True if the request can no longer meet its target; such requests go last.
     pub late: bool,
-    /// The account's rank, or the route's.
+    /// Priority of the account, or else of the route; 0 is the most urgent.
     pub priority: u8,
-    /// When its account's turn is, in units of the line's own time.
-    pub turn: u64,
-    /// When the request came.
-    pub since: Millis,
-    /// Tells apart what came in the same millisecond.
-    pub number: u64,
+    /// Virtual start time of fair queueing, in units of cost; 0 in arrival order.
+    pub virtual_start: u64,
+    /// When the request arrived.
+    pub arrived_at: Millis,
+    /// Tie breaker between requests that arrived in the same millisecond.
+    pub sequence: u64,
 }
 
-/// The line.
+/// The queue of one service.
 ///
 /// ```
-/// use bulrushusher_forward::{Claim, WaitingConfig, WaitingLine};
+/// use bulrushusher_forward::{AccountCost, WaitQueue, WaitQueueConfig};
 /// use bulrushusher_time::Millis;
-/// let mut line = WaitingLine::new(WaitingConfig { askers: 1, ..WaitingConfig::default() });
-/// let late = line.join(true, 1, Claim::default(), Millis(0));
-/// let fresh = line.join(false, 1, Claim::default(), Millis(5));
-/// assert!(line.may_ask(&fresh) && !line.may_ask(&late));
-/// line.leave(&fresh);
-/// assert!(line.may_ask(&late));
+/// let cfg = WaitQueueConfig { concurrency: 1, ..WaitQueueConfig::default() };
+/// let mut queue = WaitQueue::new(cfg);
+/// let late = queue.join(true, 1, AccountCost::default(), Millis(0));
+/// let on_time = queue.join(false, 1, AccountCost::default(), Millis(5));
+/// assert!(queue.may_request_memory(&on_time) && !queue.may_request_memory(&late));
+/// queue.leave(&on_time);
+/// assert!(queue.may_request_memory(&late));
 /// ```
 #[derive(Clone, Debug)]
-pub struct WaitingLine {
-    cfg: WaitingConfig,
-    waiting: BTreeSet<Rank>,
-    next_number: u64,
-    /// The latest turn of a request that has left the line.
-    now_at: u64,
-    /// When the turn is of the next request of an account.
-    next_turn: HashMap<Option<ClientAccountName>, u64>,
+pub struct WaitQueue {
+    cfg: WaitQueueConfig,
+    waiting: BTreeSet<QueueRank>,
+    last_sequence: u64,
+    /// Virtual time: the latest virtual start among the requests that left the queue.
+    virtual_time: u64,
+    /// Virtual start of the next request, by account.
+    next_start_by_account: HashMap<Option<ClientAccountName>, u64>,
 }
 
-impl WaitingLine {
-    /// Nothing waits.
-    pub fn new(cfg: WaitingConfig) -> WaitingLine {
-        WaitingLine {
+impl WaitQueue {
+    /// Creates an empty queue.
+    pub fn new(cfg: WaitQueueConfig) -> WaitQueue {
+        WaitQueue {
             cfg,
             waiting: BTreeSet::new(),
-            next_number: 0,
-            now_at: 0,
-            next_turn: HashMap::new(),
+            last_sequence: 0,
+            virtual_time: 0,
+            next_start_by_account: HashMap::new(),
         }
     }
 
-    /// Takes other bounds; what waits keeps its place.
-    pub fn reconfigure(&mut self, cfg: WaitingConfig) {
+    /// Replaces the limits; queued requests keep their position.
+    pub fn reconfigure(&mut self, cfg: WaitQueueConfig) {
         self.cfg = cfg;
     }
 
-    /// A request begins to wait.
-    pub fn join(&mut self, late: bool, priority: u8, claim: Claim<'_>, now: Millis) -> Rank {
-        self.next_number += 1;
-        let turn = self.take_turn(claim);
-        let rank = Rank { late, priority, turn, since: now, number: self.next_number };
+    /// Adds a request to the queue.
+    pub fn join(
+        &mut self,
+        late: bool,
+        priority: u8,
+        request: AccountCost<'_>,
+        now: Millis,
+    ) -> QueueRank {
+        self.last_sequence += 1;
+        let virtual_start = self.next_virtual_start(request);
+        let rank = QueueRank {
+            late,
+            priority,
+            virtual_start,
+            arrived_at: now,
+            sequence: self.last_sequence,
+        };
         self.waiting.insert(rank);
         rank
     }
 
-    /// An account that had nothing waiting begins at the line's time, as if it had come now; others go
-    /// on after their last request.
-    fn take_turn(&mut self, claim: Claim<'_>) -> u64 {
-        if self.cfg.order == LineOrder::Arrival {
+    /// An account without queued requests starts at the current virtual time; otherwise its
+    /// requests follow one another, spaced by cost.
+    fn next_virtual_start(&mut self, request: AccountCost<'_>) -> u64 {
+        if self.cfg.order == QueueOrder::Arrival {
             return 0;
         }
-        let next = self.next_turn.entry(claim.account.cloned()).or_default();
-        let turn = self.now_at.max(*next);
-        *next = turn + claim.cost.max(1);
-        turn
+        let next = self.next_start_by_account.entry(request.account.cloned()).or_default();
+        let virtual_start = self.virtual_time.max(*next);
+        *next = virtual_start + request.cost.max(1);
+        virtual_start
     }
 
-    /// A request waits no more.
-    pub fn leave(&mut self, rank: &Rank) {
+    /// Removes a request from the queue.
+    pub fn leave(&mut self, rank: &QueueRank) {
         self.waiting.remove(rank);
-        self.now_at = self.now_at.max(rank.turn);
+        self.virtual_time = self.virtual_time.max(rank.virtual_start);
         if self.waiting.is_empty() {
-            self.next_turn.clear();
-            self.now_at = 0;
+            self.next_start_by_account.clear();
+            self.virtual_time = 0;
         }
     }
 
-    /// True when the request is far enough ahead to ask for memory.
-    pub fn may_ask(&self, rank: &Rank) -> bool {
-        self.waiting.iter().take(self.cfg.askers).any(|ahead| ahead == rank)
+    /// True if the request is close enough to the head of the queue to request memory.
+    pub fn may_request_memory(&self, rank: &QueueRank) -> bool {
+        self.waiting.iter().take(self.cfg.concurrency).any(|ahead| ahead == rank)
     }
 
-    /// Requests waiting that can still meet their target.
+    /// Number of queued requests that can still meet their target.
     pub fn on_time(&self) -> usize {
         self.waiting.iter().filter(|rank| !rank.late).count()
     }
 
-    /// Requests waiting.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// True when nothing waits.
+    /// True if no request is queued.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// How long a request of a route with that target may wait.
-    pub fn longest_wait(&self, late: bool, target: Millis) -> Millis {
+    /// How long a request may wait on a route with this response-time target.
+    pub fn max_wait(&self, late: bool, target: Millis) -> Millis {
         match late {
             true => self.cfg.late_wait,
             false => target.share(self.cfg.target_share),
--- a/crates/bulrushusher_forward/tests/back_pressure.rs
+++ b/crates/bulrushusher_forward/tests/back_pressure.rs
@@ -1,7 +1,8 @@
 //! What runners asked for binds, whatever comes in which order.
 
 use bulrushusher_forward::{
-    BackPressure, BackPressureConfig, Born, LimitReport, Pressure, RateLimit, Runner, RunnerSignals,
+    BackPressure, BackPressureConfig, BackPressureError, Born, LimitReport, RateLimit, Runner,
+    RunnerSignals,
 };
 use bulrushusher_time::Millis;
 use proptest::prelude::*;
@@ -63,15 +64,15 @@
             match step {
                 Step::Pass(length) => now = now.plus(Millis(length)),
                 Step::Refused { retry_after: length } => {
-                    pressure.hear(&runner, retry_after(length), now);
+                    pressure.record_signals(&runner, retry_after(length), now);
                     until = until.max(now.plus(Millis(length)));
                 }
                 Step::Answered { limit } => {
                     let signals = limit.map_or(RunnerSignals::default(), |it| names(&it.to_string()));
-                    pressure.hear(&runner, signals, now);
+                    pressure.record_signals(&runner, signals, now);
                 }
                 Step::Send => {
-                    let sent = pressure.take(&runner, 1, now);
+                    let sent = pressure.acquire(&runner, 1, now);
                     prop_assert!(sent.is_err() || now >= until, "sent at {now}, backs off until {until}");
                 }
             }
@@ -87,13 +88,13 @@
         let (mut pressure, runner) = (pressure(), runner(1));
         let signals = names(&per_second.to_string());
         let mut now = Millis(1_000);
-        pressure.hear(&runner, signals, now);
+        pressure.record_signals(&runner, signals, now);
         let mut sent: Vec<Millis> = Vec::new();
         for gap in gaps {
             now = now.plus(Millis(gap));
-            if pressure.is_open(&runner, 0.0, now) && pressure.take(&runner, 1, now).is_ok() {
+            if pressure.is_open(&runner, 0.0, now) && pressure.acquire(&runner, 1, now).is_ok() {
                 sent.push(now);
-                pressure.hear(&runner, signals, now);
+                pressure.record_signals(&runner, signals, now);
             }
         }
         for (nth, first) in sent.iter().enumerate() {
@@ -106,32 +107,35 @@
 #[test]
 fn a_later_start_owes_nothing_of_the_word_of_an_earlier_one() {
     let mut pressure = pressure();
-    pressure.hear(&runner(1), retry_after(3_000), Millis(0));
-    assert_eq!(pressure.take(&runner(1), 1, Millis(10)), Err(Pressure::RetryAfter));
-    assert!(pressure.take(&runner(2), 1, Millis(10)).is_ok());
-    pressure.hear(&runner(2), RunnerSignals::default(), Millis(20));
-    pressure.hear(&runner(1), retry_after(3_000), Millis(30));
-    assert!(pressure.take(&runner(2), 1, Millis(40)).is_ok(), "a late answer of the start before");
+    pressure.record_signals(&runner(1), retry_after(3_000), Millis(0));
+    assert_eq!(pressure.acquire(&runner(1), 1, Millis(10)), Err(BackPressureError::RetryAfter));
+    assert!(pressure.acquire(&runner(2), 1, Millis(10)).is_ok());
+    pressure.record_signals(&runner(2), RunnerSignals::default(), Millis(20));
+    pressure.record_signals(&runner(1), retry_after(3_000), Millis(30));
+    assert!(
+        pressure.acquire(&runner(2), 1, Millis(40)).is_ok(),
+        "a late answer of the start before"
+    );
 }
 
 #[test]
 fn a_backoff_has_a_longest_length() {
     let cfg = BackPressureConfig::default();
     let mut pressure = pressure();
-    pressure.hear(&runner(1), retry_after(u64::MAX), Millis(0));
-    assert!(pressure.take(&runner(1), 1, cfg.longest_backoff.since(Millis(1))).is_err());
-    assert!(pressure.take(&runner(1), 1, cfg.longest_backoff).is_ok());
+    pressure.record_signals(&runner(1), retry_after(u64::MAX), Millis(0));
+    assert!(pressure.acquire(&runner(1), 1, cfg.max_backoff.since(Millis(1))).is_err());
+    assert!(pressure.acquire(&runner(1), 1, cfg.max_backoff).is_ok());
 }
 
-/// Answers overtake each other: one without a limit does not end it while others just named it.
+/// Answers overtake each other: one without a limit does not end it while others just signalled it.
 #[test]
 fn a_limit_ends_a_moment_after_it_was_named_last() {
     let mut pressure = pressure();
-    pressure.hear(&runner(1), names("0"), Millis(0));
-    pressure.hear(&runner(1), RunnerSignals::default(), Millis(10));
-    assert_eq!(pressure.take(&runner(1), 1, Millis(20)), Err(Pressure::RateLimit));
-    pressure.hear(&runner(1), RunnerSignals::default(), Millis(1_200));
-    assert!(pressure.take(&runner(1), 1, Millis(1_210)).is_ok());
+    pressure.record_signals(&runner(1), names("0"), Millis(0));
+    pressure.record_signals(&runner(1), RunnerSignals::default(), Millis(10));
+    assert_eq!(pressure.acquire(&runner(1), 1, Millis(20)), Err(BackPressureError::RateLimit));
+    pressure.record_signals(&runner(1), RunnerSignals::default(), Millis(1_200));
+    assert!(pressure.acquire(&runner(1), 1, Millis(1_210)).is_ok());
 }
 
 /// What a peer tells counts by its age: an older word does not bring a limit back.
@@ -145,12 +149,12 @@
     };
     let mut pressure = pressure();
     let open = |pressure: &BackPressure, at| pressure.is_open(&runner(1), 0.99, Millis(at));
-    pressure.hear_reports(&[word(limit("0"), 100)], Millis(10_000));
+    pressure.merge_reports(&[word(limit("0"), 100)], Millis(10_000));
     assert!(!open(&pressure, 10_010));
-    pressure.hear_reports(&[word(None, 0)], Millis(12_000));
+    pressure.merge_reports(&[word(None, 0)], Millis(12_000));
     assert!(open(&pressure, 12_010));
-    pressure.hear_reports(&[word(limit("0"), 1_500)], Millis(12_020));
-    assert!(open(&pressure, 12_030), "it was named before it ended");
-    pressure.hear_reports(&[word(limit("0"), 0)], Millis(12_040));
+    pressure.merge_reports(&[word(limit("0"), 1_500)], Millis(12_020));
+    assert!(open(&pressure, 12_030), "it was signalled before it ended");
+    pressure.merge_reports(&[word(limit("0"), 0)], Millis(12_040));
     assert!(!open(&pressure, 12_050));
 }
--- a/crates/bulrushusher_forward/tests/changes.rs
+++ b/crates/bulrushusher_forward/tests/changes.rs
@@ -93,7 +93,12 @@
     fn play(&mut self, step: Step) {
         match step {
             Step::Hold(at, prompt) => {
-                let shape = RunShape { prompt: prompt as f64, made: 0.0, expected: 2e3, most: 9e3 };
+                let shape = RunShape {
+                    prompt: prompt as f64,
+                    generated: 0.0,
+                    expected: 2e3,
+                    max_output: 9e3,
+                };
                 self.live.push(self.teller.hold(RunNote::new(runner(at), shape)));
             }
             Step::Progress(run, made) if !self.live.is_empty() => {
@@ -210,7 +215,8 @@
 #[test]
 fn runs_of_a_peer_that_is_silent_count_for_nothing() {
     let mut runs = Runs::new(PeersConfig::default());
-    let shape = RunShape { prompt: 5_000.0, made: 0.0, expected: 2_000.0, most: 9_000.0 };
+    let shape =
+        RunShape { prompt: 5_000.0, generated: 0.0, expected: 2_000.0, max_output: 9_000.0 };
     let note = RunNote { number: 1, begun: true, ..RunNote::new(runner(1), shape) };
     let report = GatewayReport { life: 1, number: 1, runs: vec![note], ..GatewayReport::default() };
     runs.hear("g", report.clone(), Millis(0));
@@ -219,7 +225,7 @@
         ended: Vec::new(),
     };
     runs.hear_changes("g", nothing_new, Millis(1_000));
-    let made = runs.at(&runner(1), 1.0, Millis(1_500))[0].made;
+    let made = runs.at(&runner(1), 1.0, Millis(1_500))[0].generated;
     assert_eq!(made, 1_500.0, "it grows from when its own run was told");
     assert_eq!(runs.at(&runner(1), 1.0, Millis(3_900)).len(), 1, "its gateway still speaks");
     assert!(runs.at(&runner(1), 1.0, Millis(4_000)).is_empty());
--- a/crates/bulrushusher_forward/tests/fairness.rs
+++ b/crates/bulrushusher_forward/tests/fairness.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use bulrushusher_forward::{Claim, LineOrder, Rank, WaitingConfig, WaitingLine};
+use bulrushusher_forward::{AccountCost, QueueOrder, QueueRank, WaitQueue, WaitQueueConfig};
 use bulrushusher_time::Millis;
 use bulrushusher_world::ClientAccountName;
 use rand::{RngExt, SeedableRng};
@@ -34,31 +34,33 @@
     }
 }
 
-fn play(order: LineOrder, cost_of_crowd: u64) -> BTreeMap<&'static str, Served> {
-    let mut line = WaitingLine::new(WaitingConfig { order, askers: 1, ..WaitingConfig::default() });
+fn play(order: QueueOrder, cost_of_crowd: u64) -> BTreeMap<&'static str, Served> {
+    let mut line =
+        WaitQueue::new(WaitQueueConfig { order, concurrency: 1, ..WaitQueueConfig::default() });
     let mut rng = ChaCha8Rng::seed_from_u64(6);
-    let mut waiting: Vec<(Rank, &'static str)> = Vec::new();
+    let mut waiting: Vec<(QueueRank, &'static str)> = Vec::new();
     let mut accounts: BTreeMap<&'static str, Served> = BTreeMap::new();
     for now in 0..LENGTH {
         for (name, per_second) in DEMAND {
             if rng.random::<f64>() < per_second / 1_000.0 {
                 let account = ClientAccountName::try_from(name).expect("it is a name");
                 let cost = if name == "crowd" { cost_of_crowd } else { 3_000 };
-                let claim = Claim { account: Some(&account), cost };
-                waiting.push((line.join(false, 1, claim, Millis(now)), name));
+                let cost = AccountCost { account: Some(&account), cost };
+                waiting.push((line.join(false, 1, cost, Millis(now)), name));
                 accounts.entry(name).or_default().asked += 1.0;
             }
         }
         if now.is_multiple_of(FREE_EVERY) {
-            let next = waiting.iter().position(|(rank, _)| line.may_ask(rank));
+            let next = waiting.iter().position(|(rank, _)| line.may_request_memory(rank));
             if let Some((rank, name)) = next.map(|next| waiting.remove(next)) {
                 line.leave(&rank);
                 accounts.entry(name).or_default().served += 1.0;
             }
         }
-        let (stay, leave) = waiting.into_iter().partition(|(it, _)| it.since.0 + PATIENCE > now);
+        let (stay, leave) =
+            waiting.into_iter().partition(|(it, _)| it.arrived_at.0 + PATIENCE > now);
         waiting = stay;
-        leave.iter().for_each(|(rank, _): &(Rank, _)| line.leave(rank));
+        leave.iter().for_each(|(rank, _): &(QueueRank, _)| line.leave(rank));
     }
     accounts
 }
@@ -72,7 +74,7 @@
 
 #[test]
 fn accounts_by_turns_serve_those_that_ask_for_little() {
-    let accounts = play(LineOrder::Account, 3_000);
+    let accounts = play(QueueOrder::Account, 3_000);
     for name in ["b", "c", "d"] {
         assert!(accounts[name].share() > 0.95, "{name}: {accounts:?}");
     }
@@ -80,7 +82,7 @@
 
 #[test]
 fn by_arrival_one_account_crowds_out_the_others() {
-    let accounts = play(LineOrder::Arrival, 3_000);
+    let accounts = play(QueueOrder::Arrival, 3_000);
     for name in ["b", "c", "d"] {
         assert!(accounts[name].share() < 0.5, "{name}: {accounts:?}");
     }
@@ -88,7 +90,7 @@
 
 #[test]
 fn turns_serve_as_many_as_arrival_does() {
-    let (turns, arrival) = (play(LineOrder::Account, 3_000), play(LineOrder::Arrival, 3_000));
+    let (turns, arrival) = (play(QueueOrder::Account, 3_000), play(QueueOrder::Arrival, 3_000));
     assert!(all(&turns).served >= all(&arrival).served * 0.99, "{turns:?} {arrival:?}");
 }
 
@@ -96,7 +98,7 @@
 #[test]
 fn nobody_is_starved() {
     for cost in [300, 3_000, 30_000] {
-        let accounts = play(LineOrder::Account, cost);
+        let accounts = play(QueueOrder::Account, cost);
         let usual = all(&accounts).share();
         for (name, served) in &accounts {
             assert!(served.share() > usual / 4.0, "{name} at {cost}: {accounts:?}");
@@ -107,8 +109,8 @@
 /// Without accounts all requests share their turns: whoever came first goes first.
 #[test]
 fn without_accounts_turns_are_those_of_arrival() {
-    let mut line = WaitingLine::new(WaitingConfig::default());
-    let ranks: Vec<Rank> =
-        (0..10).map(|n| line.join(false, 1, Claim::default(), Millis(n / 3))).collect();
+    let mut line = WaitQueue::new(WaitQueueConfig::default());
+    let ranks: Vec<QueueRank> =
+        (0..10).map(|n| line.join(false, 1, AccountCost::default(), Millis(n / 3))).collect();
     assert!(ranks.is_sorted());
 }
--- a/crates/bulrushusher_forward/tests/fuzz.rs
+++ b/crates/bulrushusher_forward/tests/fuzz.rs
@@ -7,9 +7,9 @@
 
 use bulrushusher_forward::{
     AttemptEnd, AttemptPlan, EventSplitter, FinalAnswer, Members, MembersConfig, NextStep,
-    PlainPick, RouteKind, Runner, RunnerLoads, Shutdown, ShutdownConfig, pick_for_call,
+    PlainSelection, RouteKind, Runner, RunnerLoads, Shutdown, ShutdownConfig, pick_for_call,
 };
-use bulrushusher_forward::{Candidate, LoadConfig};
+use bulrushusher_forward::{LoadConfig, SelectionContext};
 use bulrushusher_routing::{RetryBudget, RetryConfig};
 use bulrushusher_time::Millis;
 use bulrushusher_world::{RunnerId, ServiceName};
@@ -104,7 +104,7 @@
             }
             Fate::LosesIt => AttemptEnd::Unknown,
         };
-        match plan.after(end, budget) {
+        match plan.next_step(end, budget) {
             NextStep::TryAgain => {}
             NextStep::PassOn => {
                 played.ended = true;
@@ -283,7 +283,7 @@
             }
             let loads = RunnerLoads::new(LoadConfig::default());
             let service = service();
-            let cx = Candidate {
+            let cx = SelectionContext {
                 members: &members,
                 loads: &loads,
                 service: &service,
@@ -293,7 +293,7 @@
                 now,
             };
             let near = "dc-1".try_into().unwrap();
-            let picked = pick_for_call(cx, PlainPick { tried: &[], near: &near, draw });
+            let picked = pick_for_call(cx, PlainSelection { tried: &[], data_centre: &near, draw });
             if let Some(picked) = &picked {
                 let may = said.may_work(&picked.id, now, cfg.return_grace);
                 prop_assert!(may, "{:?} got work after {event:?}", picked.id);
--- a/crates/bulrushusher_forward/tests/memory_machine.rs
+++ b/crates/bulrushusher_forward/tests/memory_machine.rs
@@ -242,7 +242,8 @@
 }
 
 fn note(n: u8, prompt: u64) -> RunNote {
-    let shape = RunShape { prompt: prompt as f64, made: 0.0, expected: 3_000.0, most: 9_000.0 };
+    let shape =
+        RunShape { prompt: prompt as f64, generated: 0.0, expected: 3_000.0, max_output: 9_000.0 };
     RunNote::new(runner(n), shape)
 }
 
@@ -332,7 +333,10 @@
                 let shapes = gateway.runs.at(&runner(at), 1.4, fleet.now);
                 assert_eq!(shapes.len(), counts.seen(n, at), "runs at {at} in the sight of {n}");
                 for shape in shapes {
-                    assert!(shape.made < shape.most, "a run is taken beyond its most tokens");
+                    assert!(
+                        shape.generated < shape.max_output,
+                        "a run is taken beyond its most tokens"
+                    );
                 }
             }
         }
--- a/crates/bulrushusher_forward/tests/plain_calls.rs
+++ b/crates/bulrushusher_forward/tests/plain_calls.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use bulrushusher_forward::{
-    CallResult, Candidate, LoadConfig, Members, MembersConfig, PlainPick, Runner, RunnerLoads,
-    pick_for_call,
+    CallResult, LoadConfig, Members, MembersConfig, PlainSelection, Runner, RunnerLoads,
+    SelectionContext, pick_for_call,
 };
 use bulrushusher_time::Millis;
 use bulrushusher_world::RunnerId;
@@ -46,7 +46,7 @@
         let service = "app".try_into().expect("a good name");
         let near = "dc-1".try_into().expect("a good name");
         let (members, loads, now) = (&self.members, &self.loads, self.now);
-        let cx = Candidate {
+        let cx = SelectionContext {
             members,
             loads,
             service: &service,
@@ -55,7 +55,7 @@
             pressure: None,
             now,
         };
-        let pick = PlainPick { tried: &[], near: &near, draw: self.rng.random() };
+        let pick = PlainSelection { tried: &[], data_centre: &near, draw: self.rng.random() };
         pick_for_call(cx, pick).expect("there are runners").id
     }
 }
@@ -77,9 +77,9 @@
             false => CallResult::Answered(APART),
         };
         refusals += u64::from(id == full);
-        pool.loads.note(&id, result, pool.now);
+        pool.loads.record(&id, result, pool.now);
     }
-    let fades = LoadConfig::default().refusal_fades;
+    let fades = LoadConfig::default().refusal_lifetime;
     assert!(refusals <= CALLS * APART.0 / fades.0 + 1, "{refusals} refusals");
 }
 
@@ -88,7 +88,7 @@
 fn where_all_refuse_one_is_asked() {
     let mut pool = Pool::new(2);
     for n in 0..2 {
-        pool.loads.note(&runner(n).id, CallResult::NotRun, pool.now);
+        pool.loads.record(&runner(n).id, CallResult::NotRun, pool.now);
     }
     pool.pick();
 }
@@ -98,7 +98,7 @@
 fn a_runner_that_has_just_started_gets_its_part_of_a_burst() {
     let mut pool = Pool::new(3);
     for n in 0..2 {
-        pool.loads.note(&runner(n).id, CallResult::Answered(Millis(60)), pool.now);
+        pool.loads.record(&runner(n).id, CallResult::Answered(Millis(60)), pool.now);
     }
     let mut calls: BTreeMap<RunnerId, usize> = BTreeMap::new();
     const BURST: usize = 30;
@@ -116,8 +116,8 @@
 #[test]
 fn a_runner_that_has_just_started_is_tried_while_little_is_asked_for() {
     let mut pool = Pool::new(3);
-    pool.loads.note(&runner(0).id, CallResult::Answered(Millis(4)), pool.now);
-    pool.loads.note(&runner(1).id, CallResult::Answered(Millis(60)), pool.now);
+    pool.loads.record(&runner(0).id, CallResult::Answered(Millis(4)), pool.now);
+    pool.loads.record(&runner(1).id, CallResult::Answered(Millis(60)), pool.now);
     let calls = (0..40).map(|_| pool.pick()).filter(|id| *id == runner(2).id).count();
     assert!(calls > 0, "it was never tried");
 }
--- a/crates/bulrushusher_forward/tests/silence.rs
+++ b/crates/bulrushusher_forward/tests/silence.rs
@@ -11,31 +11,31 @@
 #[test]
 fn after_its_pause_one_call_tries_a_silent_runner_and_others_pass_it_over() {
     let mut loads = RunnerLoads::new(LoadConfig::default());
-    loads.note(&id(), CallResult::Unreachable, Millis(0));
+    loads.record(&id(), CallResult::Unreachable, Millis(0));
     assert!(loads.is_paused(&id(), Millis(299)) && !loads.is_paused(&id(), Millis(300)));
-    loads.note_trial(&id(), Millis(310));
+    loads.record_probe(&id(), Millis(310));
     assert!(loads.is_paused(&id(), Millis(320)), "a call is trying it");
-    assert_eq!(loads.silent(Millis(320)), [id()], "peers hear of it meanwhile");
-    loads.note(&id(), CallResult::Answered(Millis(90)), Millis(400));
-    assert!(!loads.is_paused(&id(), Millis(400)) && loads.silent(Millis(400)).is_empty());
-    loads.note_trial(&id(), Millis(410));
+    assert_eq!(loads.unreachable(Millis(320)), [id()], "peers hear of it meanwhile");
+    loads.record(&id(), CallResult::Answered(Millis(90)), Millis(400));
+    assert!(!loads.is_paused(&id(), Millis(400)) && loads.unreachable(Millis(400)).is_empty());
+    loads.record_probe(&id(), Millis(410));
     assert!(!loads.is_paused(&id(), Millis(410)), "a runner that answers needs no trial");
 }
 
 #[test]
 fn memory_that_is_held_shows_that_a_runner_is_there_again() {
     let mut loads = RunnerLoads::new(LoadConfig::default());
-    loads.note(&id(), CallResult::Unreachable, Millis(0));
-    loads.note_trial(&id(), Millis(300));
-    loads.note_reached(&id(), Millis(304));
-    assert!(!loads.is_paused(&id(), Millis(304)) && loads.silent(Millis(304)).is_empty());
+    loads.record(&id(), CallResult::Unreachable, Millis(0));
+    loads.record_probe(&id(), Millis(300));
+    loads.record_reachable(&id(), Millis(304));
+    assert!(!loads.is_paused(&id(), Millis(304)) && loads.unreachable(Millis(304)).is_empty());
 }
 
 #[test]
 fn a_trial_that_is_given_up_keeps_nobody_from_the_runner_for_long() {
     let mut loads = RunnerLoads::new(LoadConfig::default());
-    loads.note(&id(), CallResult::Unreachable, Millis(0));
-    loads.note_trial(&id(), Millis(300));
+    loads.record(&id(), CallResult::Unreachable, Millis(0));
+    loads.record_probe(&id(), Millis(300));
     assert!(loads.is_paused(&id(), Millis(1_299)) && !loads.is_paused(&id(), Millis(1_300)));
 }
 
--- a/crates/bulrushusher_forward/tests/starts.rs
+++ b/crates/bulrushusher_forward/tests/starts.rs
@@ -128,13 +128,13 @@
     let mut loads = RunnerLoads::new(LoadConfig::default());
     let id = runner(0, None, false).id;
     let before = loads.begin(&id, 5_000);
-    loads.note(&id, CallResult::Unreachable, Millis(10));
+    loads.record(&id, CallResult::Unreachable, Millis(10));
     assert!(loads.is_paused(&id, Millis(20)));
     loads.forget(&id);
     assert!(!loads.is_paused(&id, Millis(20)));
     let after = loads.begin(&id, 700);
     loads.end(&id, before, 5_000);
-    assert_eq!(loads.prompt_tokens(&id), 700);
+    assert_eq!(loads.queued_prompt_tokens(&id), 700);
     loads.end(&id, after, 700);
-    assert_eq!(loads.prompt_tokens(&id), 0);
+    assert_eq!(loads.queued_prompt_tokens(&id), 0);
 }
--- a/crates/bulrushusher_gateway/src/access/caller.rs
+++ b/crates/bulrushusher_gateway/src/access/caller.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use bulrushusher_accounts::{Account, Freshness, KeyDigest};
-use bulrushusher_forward::Claim;
+use bulrushusher_forward::AccountCost;
 use bulrushusher_time::Millis;
 use bulrushusher_world::ClientAccountName;
 
@@ -44,8 +44,8 @@
     }
 
     /// What it goes by in a line.
-    pub(crate) fn claim(&self) -> Claim<'_> {
-        Claim { account: self.account_name(), cost: self.cost() }
+    pub(crate) fn claim(&self) -> AccountCost<'_> {
+        AccountCost { account: self.account_name(), cost: self.cost() }
     }
 
     /// What the request counts as; 0 where it has no account.
--- a/crates/bulrushusher_gateway/src/callers/front.rs
+++ b/crates/bulrushusher_gateway/src/callers/front.rs
@@ -231,7 +231,7 @@
         let stop = self.lifecycle.shutdown()?;
         let expected = match fwd.route.kind {
             RouteKind::Stream { .. } => {
-                self.router.knowledge.with_pace(&fwd.service, |pace| pace.expected_generation())
+                self.router.knowledge.with_pace(&fwd.service, |pace| pace.generation_upper_bound())
             }
             RouteKind::Idempotent | RouteKind::NonIdempotent => fwd.route.target,
         };
--- a/crates/bulrushusher_gateway/src/knowledge/accounts.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/accounts.rs
@@ -91,7 +91,7 @@
 
     /// So many other gateways have announced themselves.
     pub(crate) fn note_announced(&self, others: usize) {
-        self.pressure.lock().note_announced(others);
+        self.pressure.lock().set_announced(others);
         self.quotas.lock().note_announced(others);
     }
 
--- a/crates/bulrushusher_gateway/src/knowledge/health.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/health.rs
@@ -21,9 +21,9 @@
         let peers = at_peers.get(runner);
         let mut health = self.health.lock();
         let failed_before = health.is_failing(runner, peers, now);
-        health.note(runner, good, now);
+        health.record(runner, good, now);
         if !failed_before && health.is_failing(runner, peers, now) {
-            let (good, bad) = health.ends(runner, now);
+            let (good, bad) = health.decayed_counts(runner, now);
             log::info!(
                 "runners: passed over id={runner} cause=\"it fails too many runs\" good={good:.1} \
                  bad={bad:.1} bad_at_peers={:.1}",
@@ -56,7 +56,7 @@
         let fails = |id: &RunnerId| health.is_failing(id, at_peers.get(id), now);
         let failing: BTreeSet<RunnerId> =
             usable().filter(|r| fails(&r.id)).map(|r| r.id.clone()).collect();
-        match failing.len() > health.most_passed_over(usable().count()) {
+        match failing.len() > health.max_excluded(usable().count()) {
             true => BTreeSet::new(),
             false => failing,
         }
@@ -66,6 +66,6 @@
     pub(super) fn failing_told(&self) -> Vec<RunCounts> {
         let now = self.now();
         let at_peers = self.runs.lock().failing_at_peers(now).into_keys().collect();
-        self.health.lock().told(&at_peers, now)
+        self.health.lock().reports(&at_peers, now)
     }
 }
--- a/crates/bulrushusher_gateway/src/knowledge/memory.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/memory.rs
@@ -4,8 +4,8 @@
 
 use bulrushusher_accounts::Spends;
 use bulrushusher_forward::{
-    ChangesNews, DecodeLoad, GatewayChanges, GatewayReport, MemoryForecast, Prompt, RunNote,
-    RunNumber, RunShape, Runner, Stage, WaitingLine, asks_now, rank_for_decode,
+    ChangesNews, DecodeLoad, GatewayChanges, GatewayReport, MemoryForecast, PrefillTask, RunNote,
+    RunNumber, RunShape, Runner, Stage, WaitQueue, rank_for_decode, should_request_memory,
 };
 use bulrushusher_world::{RunnerId, ServiceName};
 
@@ -29,7 +29,7 @@
         service: &ServiceName,
         tried: &[RunnerId],
         run: RunShape,
-        reads_itself: Option<Prompt>,
+        reads_itself: Option<PrefillTask>,
     ) -> Vec<Runner> {
         let draw = self.draw();
         let forecast = self.forecast(service);
@@ -38,9 +38,9 @@
             let peak = |runner: &Runner| {
                 let there = runs.need_at(&runner.id, &forecast, cx.now);
                 let peak = forecast.peak_if_it_fits(&there, &run)?;
-                let may_read = |prompt: &Prompt| {
-                    prompt.decode_may_read(DecodeLoad {
-                        reading: runs.tokens_read_by(&runner.id, cx.now),
+                let may_read = |prompt: &PrefillTask| {
+                    prompt.decode_may_prefill(DecodeLoad {
+                        prefilling_tokens: runs.tokens_read_by(&runner.id, cx.now),
                         runs: there.runs,
                         fullness: forecast.fullness(peak),
                     })
@@ -162,21 +162,22 @@
     pub(crate) fn asks_now(&self, open: usize) -> bool {
         let now = self.now();
         let others = self.runs.lock().peers_that_wait(now);
-        asks_now(self.draw(), others, open)
+        should_request_memory(self.draw(), others, open)
     }
 
     /// Generations that wait here: those that can still be on time, and the late ones.
     fn waiting_by_chance(&self) -> (u32, u32) {
         let lines = self.lines.lock();
-        let all: usize = lines.values().map(WaitingLine::len).sum();
-        let on_time: usize = lines.values().map(WaitingLine::on_time).sum();
+        let all: usize = lines.values().map(WaitQueue::len).sum();
+        let on_time: usize = lines.values().map(WaitQueue::on_time).sum();
         (on_time as u32, (all - on_time) as u32)
     }
 
     /// What peers are told.
     pub(crate) fn report(&self, life: u64, number: u64) -> GatewayReport {
-        let (reads, silent) =
-            self.with_runners(|runners, now| (runners.loads.reads(), runners.loads.silent(now)));
+        let (reads, silent) = self.with_runners(|runners, now| {
+            (runners.loads.queued_prompts(), runners.loads.unreachable(now))
+        });
         let (waiting, waiting_late) = self.waiting_by_chance();
         let changing: Vec<RunnerId> = self.changing.lock().values().flatten().cloned().collect();
         let failing = self.failing_told();
@@ -209,7 +210,8 @@
     /// Prompt tokens that wait at a prefill runner, over all gateways.
     pub(crate) fn tokens_at_prefill(&self, runner: &RunnerId) -> u64 {
         self.with_runners(|runners, now| {
-            runners.loads.prompt_tokens(runner) + self.runs.lock().reads_of_peers(runner, now)
+            runners.loads.queued_prompt_tokens(runner)
+                + self.runs.lock().reads_of_peers(runner, now)
         })
     }
 
@@ -226,7 +228,7 @@
         let runs = self.runs.lock();
         let there = runs.need_at(runner, &forecast, now);
         DecodeLoad {
-            reading: runs.tokens_read_by(runner, now),
+            prefilling_tokens: runs.tokens_read_by(runner, now),
             runs: there.runs.saturating_sub(1),
             fullness: forecast.fullness(forecast.peak(&there)),
         }
--- a/crates/bulrushusher_gateway/src/knowledge/mod.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/mod.rs
@@ -11,10 +11,11 @@
 use arc_swap::{ArcSwap, ArcSwapOption};
 use bulrushusher_accounts::{AccountTable, ConfigLease, QuotaBook};
 use bulrushusher_forward::{
-    AttemptEnd, AttemptPlan, BackPressure, BackPressureConfig, CallResult, Candidate, Claim,
-    EngineSpec, HealthConfig, Members, NextStep, Pace, PaceConfig, PeersConfig, PlainPick,
-    PressureView, Rank, RelayView, Route, RoutingConfig, Runner, RunnerHealth, RunnerLoads, Runs,
-    UsualPatience, WaitingLine, pick_for_call, pick_for_prefill,
+    AccountCost, AttemptEnd, AttemptPlan, BackPressure, BackPressureConfig, BackPressureView,
+    CallResult, EngineSpec, HealthConfig, Members, NextStep, PeersConfig, PlainSelection,
+    QueueRank, RelayView, Route, RoutingConfig, Runner, RunnerHealth, RunnerLoads, Runs,
+    SelectionContext, TimingConfig, TimingModel, TypicalPatience, WaitQueue, pick_for_call,
+    pick_for_prefill,
 };
 use bulrushusher_routing::{Quarantine, RetryBudget};
 use bulrushusher_time::{Clock, Millis};
@@ -60,9 +61,9 @@
     routing: ArcSwapOption<RoutingConfig>,
     runners: Mutex<Runners>,
     budgets: Mutex<HashMap<ServiceName, RetryBudget>>,
-    lines: Mutex<HashMap<ServiceName, WaitingLine>>,
-    paces: Mutex<HashMap<ServiceName, Pace>>,
-    patience: Mutex<UsualPatience>,
+    lines: Mutex<HashMap<ServiceName, WaitQueue>>,
+    paces: Mutex<HashMap<ServiceName, TimingModel>>,
+    patience: Mutex<TypicalPatience>,
     runs: Mutex<Runs>,
     health: Mutex<RunnerHealth>,
     /// Pauses in this gateway's streams, by runner that reads a prompt.
@@ -221,11 +222,11 @@
         tried: &[RunnerId],
         near: &DataCentreName,
     ) -> Option<Runner> {
-        let pick = PlainPick { tried, near, draw: self.draw() };
+        let pick = PlainSelection { tried, data_centre: near, draw: self.draw() };
         let draw = self.draw();
         self.with_runners(|runners, now| {
             let pressure = self.pressure_at(now);
-            let view = PressureView { pressure: &pressure, draw };
+            let view = BackPressureView { pressure: &pressure, draw };
             pick_for_call(runners.candidates(service, view, now), pick)
         })
     }
@@ -248,15 +249,15 @@
     fn with_pool<T>(
         &self,
         service: &ServiceName,
-        choose: impl FnOnce(Candidate<'_>, &Runs) -> T,
+        choose: impl FnOnce(SelectionContext<'_>, &Runs) -> T,
     ) -> T {
         let draw = self.draw();
         self.with_runners(|runners, now| {
             let runs = self.runs.lock();
             let failing = self.failing(runners, &runs, service, now);
             let pressure = self.pressure_at(now);
-            let view = PressureView { pressure: &pressure, draw };
-            let cx = Candidate {
+            let view = BackPressureView { pressure: &pressure, draw };
+            let cx = SelectionContext {
                 runs: Some(&runs),
                 failing: Some(&failing),
                 ..runners.candidates(service, view, now)
@@ -289,7 +290,7 @@
     pub(crate) fn note_call(&self, runner: &Runner, result: CallResult) {
         self.with_runners(|runners, now| {
             if !runners.members.is_past(runner) {
-                runners.loads.note(&runner.id, result, now);
+                runners.loads.record(&runner.id, result, now);
             }
         });
         if result == CallResult::Unreachable {
@@ -309,7 +310,7 @@
         plan: &mut AttemptPlan,
         end: AttemptEnd,
     ) -> NextStep {
-        self.with_budget(service, |budget| plan.after(end, budget))
+        self.with_budget(service, |budget| plan.next_step(end, budget))
     }
 
     /// Gives a late attempt up if another runner than those `tried` would take the call well and the budget
@@ -323,7 +324,7 @@
         let near = self.cfg().data_centre.clone();
         let other = self.pick_for_call(service, tried, &near);
         let takes_calls =
-            |id: &RunnerId| self.with_runners(|it, now| it.loads.takes_calls(id, now));
+            |id: &RunnerId| self.with_runners(|it, now| it.loads.accepts_calls(id, now));
         other.is_some_and(|other| takes_calls(&other.id))
             && self.with_budget(service, |budget| plan.abandon(budget))
     }
@@ -348,21 +349,21 @@
         service: &ServiceName,
         late: bool,
         priority: u8,
-        claim: Claim<'_>,
-    ) -> Rank {
+        claim: AccountCost<'_>,
+    ) -> QueueRank {
         let now = self.now();
         self.change_line(service, |line| line.join(late, priority, claim, now))
     }
 
     /// Leaves the line of a service.
-    pub(crate) fn leave_line(&self, service: &ServiceName, rank: &Rank) {
+    pub(crate) fn leave_line(&self, service: &ServiceName, rank: &QueueRank) {
         self.change_line(service, |line| line.leave(rank));
     }
 
     /// Changes a line, and lets peers know when it begins or ceases to wait: they take turns with
     /// those that do.
-    fn change_line<T>(&self, service: &ServiceName, f: impl FnOnce(&mut WaitingLine) -> T) -> T {
-        let kinds = |line: &WaitingLine| (line.on_time() > 0, line.len() > line.on_time());
+    fn change_line<T>(&self, service: &ServiceName, f: impl FnOnce(&mut WaitQueue) -> T) -> T {
+        let kinds = |line: &WaitQueue| (line.on_time() > 0, line.len() > line.on_time());
         let (done, changed) = self.with_line(service, |line| {
             let before = kinds(line);
             let done = f(line);
@@ -377,16 +378,20 @@
     pub(crate) fn with_line<T>(
         &self,
         service: &ServiceName,
-        f: impl FnOnce(&mut WaitingLine) -> T,
+        f: impl FnOnce(&mut WaitQueue) -> T,
     ) -> T {
         let mut lines = self.lines.lock();
         let cfg = self.cfg.load().waiting;
-        f(lines.entry(service.clone()).or_insert_with(|| WaitingLine::new(cfg)))
+        f(lines.entry(service.clone()).or_insert_with(|| WaitQueue::new(cfg)))
     }
 
-    pub(crate) fn with_pace<T>(&self, service: &ServiceName, f: impl FnOnce(&mut Pace) -> T) -> T {
+    pub(crate) fn with_pace<T>(
+        &self,
+        service: &ServiceName,
+        f: impl FnOnce(&mut TimingModel) -> T,
+    ) -> T {
         let mut paces = self.paces.lock();
-        f(paces.entry(service.clone()).or_insert_with(|| Pace::new(PaceConfig::default())))
+        f(paces.entry(service.clone()).or_insert_with(|| TimingModel::new(TimingConfig::default())))
     }
 
     /// Time since the caller's first attempt, as far as its patience tells.
@@ -397,7 +402,7 @@
 
     /// Requests that wait for memory, over all services.
     pub(crate) fn waiting(&self) -> usize {
-        self.lines.lock().values().map(WaitingLine::len).sum()
+        self.lines.lock().values().map(WaitQueue::len).sum()
     }
 }
 
@@ -405,10 +410,10 @@
     fn candidates<'a>(
         &'a self,
         service: &'a ServiceName,
-        pressure: PressureView<'a>,
+        pressure: BackPressureView<'a>,
         now: Millis,
-    ) -> Candidate<'a> {
-        Candidate {
+    ) -> SelectionContext<'a> {
+        SelectionContext {
             members: &self.members,
             loads: &self.loads,
             service,
