--- a/crates/bulrushusher_gateway/src/knowledge/pauses.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/pauses.rs
@@ -44,7 +44,7 @@
     pub(crate) fn finish(self, service: &ServiceName, tokens: u64, gap_target: Millis) {
         let took = self.knowledge.now().since(self.began);
         if self.reading <= tokens {
-            self.knowledge.with_pace(service, |pace| pace.note_decode_read(tokens, took));
+            self.knowledge.with_pace(service, |pace| pace.record_decode_prefill(tokens, took));
         }
         let service = service.clone();
         tokio::spawn(async move {
@@ -62,7 +62,7 @@
         let per_event = self.knowledge.tokens_per_event(service) as f64;
         self.knowledge.with_pace(service, |pace| {
             let reading = self.reading as f64 * pace.decode().ms_per_token();
-            pace.note_pause(reading + per_event / pace.tokens_per_ms(), longest);
+            pace.record_pause(reading + per_event / pace.tokens_per_ms(), longest);
         });
     }
 }
--- a/crates/bulrushusher_gateway/src/knowledge/pressure.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/pressure.rs
@@ -1,7 +1,8 @@
 //! Back-pressure that runners signalled in their answers, here and at peers.
 
 use bulrushusher_forward::{
-    BackPressure, DrainReport, LimitReport, Pressure, PressureCounts, Runner, RunnerSignals, Stage,
+    BackPressure, BackPressureCounts, BackPressureError, DrainReport, LimitReport, Runner,
+    RunnerSignals, Stage,
 };
 use bulrushusher_time::Millis;
 use bulrushusher_world::ServiceName;
@@ -20,7 +21,7 @@
             return Vec::new();
         }
         let now = self.now();
-        let before = self.pressure.lock().hear(runner, signals, now);
+        let before = self.pressure.lock().record_signals(runner, signals, now);
         if before == signals {
             return Vec::new();
         }
@@ -70,9 +71,9 @@
     pub(super) fn hear_limits(&self, peer: &str, reports: &[LimitReport]) {
         let now = self.now();
         let mut pressure = self.pressure.lock();
-        pressure.note_gateway(peer, now);
+        pressure.record_gateway(peer, now);
         let before = pressure.counts(now).limited;
-        pressure.hear_reports(reports, now);
+        pressure.merge_reports(reports, now);
         let limited = pressure.counts(now).limited;
         drop(pressure);
         if limited != before {
@@ -96,12 +97,12 @@
     ///
     /// # Errors
     /// What the runner asked for meanwhile.
-    pub(crate) fn may_send(&self, runner: &Runner) -> Result<(), Pressure> {
+    pub(crate) fn may_send(&self, runner: &Runner) -> Result<(), BackPressureError> {
         let leaves = self.with_runners(|runners, _| {
             runners.members.has_said_that_it_leaves(&runner.id, runner.born)
         });
         match leaves {
-            true => Err(Pressure::Leaving),
+            true => Err(BackPressureError::Leaving),
             false => self.pressure.lock().check_backoff(runner, self.now()),
         }
     }
@@ -110,22 +111,26 @@
     ///
     /// # Errors
     /// What the runner asked for when they may not be sent.
-    pub(crate) fn take_permits(&self, runner: &Runner, requests: u32) -> Result<(), Pressure> {
+    pub(crate) fn take_permits(
+        &self,
+        runner: &Runner,
+        requests: u32,
+    ) -> Result<(), BackPressureError> {
         self.may_send(runner)?;
         let now = self.now();
-        self.pressure_at(now).take(runner, requests, now)
+        self.pressure_at(now).acquire(runner, requests, now)
     }
 
     /// Counts a request that is sent whatever its runner asked for.
     pub(crate) fn owe_permit(&self, runner: &Runner) {
         let now = self.now();
-        self.pressure.lock().owe(runner, 1, now);
+        self.pressure.lock().charge(runner, 1, now);
     }
 
     /// Requests that were counted are not sent after all.
     pub(crate) fn give_permits_back(&self, runner: &Runner, requests: u32) {
         let now = self.now();
-        self.pressure.lock().give_back(runner, requests, now);
+        self.pressure.lock().release(runner, requests, now);
     }
 
     /// True until the time in the runner's last refusal is over.
@@ -149,13 +154,14 @@
             }
             let of_stage = |r: &&Runner| stage.is_none() || r.stage == stage;
             let usable = runners.members.usable(service, now).filter(of_stage);
-            let first = usable.map(|r| pressure.opens_in(r, now).unwrap_or(OTHERS_SHARE)).min();
+            let first =
+                usable.map(|r| pressure.time_until_open(r, now).unwrap_or(OTHERS_SHARE)).min();
             first.filter(|opens_in| *opens_in > Millis(0))
         })
     }
 
     /// How many runners asked for something.
-    pub(crate) fn pressure_counts(&self) -> PressureCounts {
+    pub(crate) fn pressure_counts(&self) -> BackPressureCounts {
         let now = self.now();
         self.pressure.lock().counts(now)
     }
--- a/crates/bulrushusher_gateway/src/placement/place.rs
+++ b/crates/bulrushusher_gateway/src/placement/place.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use bulrushusher_forward::{CallResult, Rank, RunNote, RunShape, Runner, Stage, tokens_to_hold};
+use bulrushusher_forward::{
+    CallResult, QueueRank, RunNote, RunShape, Runner, Stage, tokens_to_hold,
+};
 use bulrushusher_time::Millis;
 use bulrushusher_world::ServiceName;
 use derive_more::Display;
@@ -36,7 +38,7 @@
 struct InLine {
     knowledge: Arc<Knowledge>,
     service: ServiceName,
-    rank: Rank,
+    rank: QueueRank,
 }
 
 impl Drop for InLine {
@@ -122,7 +124,7 @@
     tries: &Tries,
 ) -> Vec<Runner> {
     let yields = line.rank.late && cx.knowledge.peers_have_waiting();
-    if yields || !cx.knowledge.with_line(&line.service, |l| l.may_ask(&line.rank)) {
+    if yields || !cx.knowledge.with_line(&line.service, |l| l.may_request_memory(&line.rank)) {
         return Vec::new();
     }
     let reads_itself = match readers(cx, fwd) {
@@ -144,9 +146,10 @@
 fn may_end<D: Dialect>(cx: &Router<D>, fwd: &Forwarded, tries: &Tries) -> bool {
     let events = tries.resume_after.unwrap_or(0);
     let made = (events * cx.knowledge.tokens_per_event(&fwd.service)) as f64;
-    let run = RunShape { made, ..RunShape::of(fwd.arrival.size.as_ref()) };
+    let run = RunShape { generated: made, ..RunShape::of(fwd.arrival.size.as_ref()) };
     let left = fwd.left(cx.now());
-    let share = cx.knowledge.with_pace(&fwd.service, |pace| pace.share_that_ends(&run, left));
+    let share =
+        cx.knowledge.with_pace(&fwd.service, |pace| pace.completion_probability(&run, left));
     share >= LEAST_THAT_END
 }
 
@@ -208,14 +211,15 @@
         return None;
     }
     let tokens = tokens_wanted(cx, fwd);
-    cx.knowledge.with_runners(|runners, now| runners.loads.note_trial(&runner.id, now));
+    cx.knowledge.with_runners(|runners, now| runners.loads.record_probe(&runner.id, now));
     let ttl = hold_time(cx, fwd);
     let shape = RunShape::of(fwd.arrival.size.as_ref());
     let call = cx.dialect.take_hold(&runner.id, tokens, ttl);
     let answer = cx.exchanger.side_call(&runner, call, Permit::Counted, SIDE_CALL_TIMEOUT).await;
     let (asked, word) = match answer {
         Ok((head, body)) => {
-            cx.knowledge.with_runners(|runners, now| runners.loads.note_reached(&runner.id, now));
+            cx.knowledge
+                .with_runners(|runners, now| runners.loads.record_reachable(&runner.id, now));
             let terms = HoldTerms { note: RunNote::new(runner.id.clone(), shape), ttl };
             read_answer(cx, runner.clone(), terms, head.status, &body)
         }
@@ -260,7 +264,7 @@
             (None, "wrong_runner")
         }
         _ => {
-            cx.knowledge.with_runners(|r, now| r.loads.hold_refused(&runner.id, now));
+            cx.knowledge.with_runners(|r, now| r.loads.record_hold_refusal(&runner.id, now));
             (None, "full")
         }
     }
--- a/crates/bulrushusher_gateway/src/placement/reading.rs
+++ b/crates/bulrushusher_gateway/src/placement/reading.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use bulrushusher_forward::{CallResult, Prompt, ReadConfig, Reader, Runner};
+use bulrushusher_forward::{CallResult, PrefillSite, PrefillSiteConfig, PrefillTask, Runner};
 use bulrushusher_time::Millis;
 
 use crate::dialect::{Dialect, Step};
@@ -47,7 +47,8 @@
         }
         let near = held.runner.data_centre.clone();
         let runner = cx.knowledge.pick_for_prefill(&fwd.service, &tried, &near);
-        let Some(runner) = runner.filter(|runner| reader(cx, fwd, held, runner) == Reader::Prefill)
+        let Some(runner) =
+            runner.filter(|runner| reader(cx, fwd, held, runner) == PrefillSite::Prefill)
         else {
             held.reads_itself();
             return Ok(None);
@@ -73,28 +74,28 @@
     fwd: &Forwarded,
     held: &HeldMemory<D>,
     prefill: &Runner,
-) -> Reader {
+) -> PrefillSite {
     let prompt = prompt(cx, fwd, Some(prefill));
     let load = cx.knowledge.decode_load(&fwd.service, &held.runner.id);
-    let reader = prompt.reader(load, ReadConfig::default());
+    let reader = prompt.select_site(load, PrefillSiteConfig::default());
     log::debug!("read: id={} reader={reader:?} prompt={prompt:?} decode={load:?}", fwd.arrival.id);
     reader
 }
 
 /// The prompt of a request, with what is known of how fast it can be read.
-fn prompt<D: Dialect>(cx: &Router<D>, fwd: &Forwarded, prefill: Option<&Runner>) -> Prompt {
+fn prompt<D: Dialect>(cx: &Router<D>, fwd: &Forwarded, prefill: Option<&Runner>) -> PrefillTask {
     let per_event = cx.knowledge.tokens_per_event(&fwd.service) as f64;
     let ahead = prefill.map(|prefill| cx.knowledge.tokens_at_prefill(&prefill.id));
-    cx.knowledge.with_pace(&fwd.service, |pace| Prompt {
+    cx.knowledge.with_pace(&fwd.service, |pace| PrefillTask {
         tokens: fwd.prompt_tokens(),
-        ahead,
-        at_prefill: pace.prefill(),
-        at_decode: pace.decode(),
+        queued_tokens: ahead,
+        prefill_timing: pace.prefill(),
+        decode_timing: pace.decode(),
         event_gap: Millis((per_event / pace.tokens_per_ms()) as u64),
         gap_target: fwd.route.gap_target,
         pauses: pace.pauses(),
         generation: pace.mean_generation(),
-        left_on_time: fwd.left_on_time(cx.now()),
+        time_to_target: fwd.left_on_time(cx.now()),
     })
 }
 
@@ -104,7 +105,7 @@
     /// A prefill runner, and perhaps decode runners.
     Any,
     /// Decode runners only, those that may.
-    Decode(Prompt),
+    Decode(PrefillTask),
 }
 
 /// Who could read the prompt soon enough for a run that is placed now.
@@ -112,10 +113,10 @@
     let near = &cx.knowledge.cfg().data_centre;
     let prefill = cx.knowledge.pick_for_prefill(&fwd.service, &[], near);
     let prompt = prompt(cx, fwd, prefill.as_ref());
-    let left = prompt.left_on_time;
+    let left = prompt.time_to_target;
     let longest = if left > Millis(0) { left } else { LATE_READ };
-    let longest = longest.since(ReadConfig::default().first_event);
-    match prompt.prefill_is_in_time(longest.min(LATE_READ)) {
+    let longest = longest.since(PrefillSiteConfig::default().first_event_delay);
+    match prompt.prefill_runner_is_in_time(longest.min(LATE_READ)) {
         true => Readers::Any,
         false => Readers::Decode(prompt),
     }
@@ -132,7 +133,7 @@
     let tokens = fwd.prompt_tokens();
     let ahead = cx.knowledge.tokens_at_prefill(&runner.id);
     let _ticket = LoadTicket::begin(&cx.knowledge, &runner.id, tokens);
-    let usual = cx.knowledge.with_pace(&fwd.service, |pace| pace.longest_read(ahead + tokens));
+    let usual = cx.knowledge.with_pace(&fwd.service, |pace| pace.prefill_timeout(ahead + tokens));
     let within = usual.min(longest).min(fwd.left(began));
     let watch = CrashWatch::begin(cx, fwd);
     let read = read_answer(cx, fwd, resume_after, &runner, within).await;
@@ -153,7 +154,7 @@
     }
     let handle = read.map_err(|failed| failed.result)?;
     let took = cx.now().since(began);
-    cx.knowledge.with_pace(&fwd.service, |pace| pace.note_read(ahead + tokens, took));
+    cx.knowledge.with_pace(&fwd.service, |pace| pace.record_prefill(ahead + tokens, took));
     Ok(KeptKv::new(runner, handle, &cx.knowledge, &cx.exchanger, &cx.dialect))
 }
 
--- a/crates/bulrushusher_gateway/src/runners/exchange.rs
+++ b/crates/bulrushusher_gateway/src/runners/exchange.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use bulrushusher_forward::{AttemptEnd, CallResult, Pressure, RequestId, Runner};
+use bulrushusher_forward::{AttemptEnd, BackPressureError, CallResult, RequestId, Runner};
 use bulrushusher_report::GatewayMetrics;
 use bulrushusher_time::Millis;
 use bytes::Bytes;
@@ -42,7 +42,7 @@
     Foreign,
     /// Nothing was written to the runner, by its own back-pressure.
     #[display("withheld ({cause})")]
-    Withheld { cause: Pressure },
+    Withheld { cause: BackPressureError },
 }
 
 impl ExchangeError {
@@ -129,7 +129,9 @@
         let asked = match permit {
             Permit::Needed => self.knowledge.take_permits(runner, 1),
             Permit::Counted => self.knowledge.may_send(runner),
-            Permit::Release if self.knowledge.is_backing_off(runner) => Err(Pressure::RetryAfter),
+            Permit::Release if self.knowledge.is_backing_off(runner) => {
+                Err(BackPressureError::RetryAfter)
+            }
             Permit::Exempt | Permit::Release => {
                 self.knowledge.owe_permit(runner);
                 Ok(())
@@ -241,10 +243,10 @@
 }
 
 /// One word for metrics.
-pub(crate) fn withheld_word(cause: Pressure) -> &'static str {
+pub(crate) fn withheld_word(cause: BackPressureError) -> &'static str {
     match cause {
-        Pressure::RetryAfter => "retry_after",
-        Pressure::Leaving => "leaving",
-        Pressure::RateLimit => "rate_limit",
+        BackPressureError::RetryAfter => "retry_after",
+        BackPressureError::Leaving => "leaving",
+        BackPressureError::RateLimit => "rate_limit",
     }
 }
--- a/crates/bulrushusher_gateway/src/runners/router.rs
+++ b/crates/bulrushusher_gateway/src/runners/router.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use bulrushusher_forward::{CallResult, LoadLife, Route, Runner, Stage};
+use bulrushusher_forward::{CallResult, LoadEpoch, Route, Runner, Stage};
 use bulrushusher_report::GatewayMetrics;
 use bulrushusher_routing::RequestDigest;
 use bulrushusher_time::Millis;
@@ -135,7 +135,7 @@
     /// When a refused caller should come back.
     pub(crate) fn come_back(&self, fwd: &Forwarded) -> Millis {
         let returns = self.knowledge.cfg().returns();
-        returns.come_back(fwd.left(self.now()), self.knowledge.draw())
+        returns.retry_after(fwd.left(self.now()), self.knowledge.draw())
     }
 
     /// Sends the request to a runner and waits for the head of its answer.
@@ -236,7 +236,7 @@
 pub(crate) struct LoadTicket {
     knowledge: Arc<Knowledge>,
     runner: RunnerId,
-    life: LoadLife,
+    life: LoadEpoch,
     prompt_tokens: u64,
 }
 
@@ -247,7 +247,7 @@
         prompt_tokens: u64,
     ) -> LoadTicket {
         let life = knowledge.with_runners(|runners, now| {
-            runners.loads.note_trial(runner, now);
+            runners.loads.record_probe(runner, now);
             runners.loads.begin(runner, prompt_tokens)
         });
         LoadTicket { knowledge: knowledge.clone(), runner: runner.clone(), life, prompt_tokens }
--- a/crates/bulrushusher_gateway/src/runs/pump.rs
+++ b/crates/bulrushusher_gateway/src/runs/pump.rs
@@ -78,7 +78,7 @@
                 let made = last * cx.knowledge.tokens_per_event(&fwd.service);
                 let took = cx.now().since(first_began);
                 cx.knowledge
-                    .with_pace(&fwd.service, |pace| pace.note_generation(took, expected, made));
+                    .with_pace(&fwd.service, |pace| pace.record_generation(took, expected, made));
                 return;
             }
             RunEnd::CallerGone => return,
--- a/crates/bulrushusher_gateway/src/settings.rs
+++ b/crates/bulrushusher_gateway/src/settings.rs
@@ -5,8 +5,8 @@
 use bulrushusher_accounts::{QuotaConfig, Sharing};
 use bulrushusher_config::{ConfigError, Kind, Program, Setting, Values, setting};
 use bulrushusher_forward::{
-    ForecastConfig, GatewaysConfig, HoldConfig, LineOrder, LoadConfig, MembersConfig, ReturnConfig,
-    ShutdownConfig, StagesConfig, WaitingConfig,
+    ForecastConfig, GatewaysConfig, HoldConfig, LoadConfig, MembersConfig, QueueOrder,
+    RetryAfterConfig, ShutdownConfig, StagesConfig, WaitQueueConfig,
 };
 use bulrushusher_routing::{QuarantineConfig, RetryConfig};
 use bulrushusher_time::Millis;
@@ -254,7 +254,7 @@
     /// Bounds of a graceful shutdown.
     pub shutdown: ShutdownConfig,
     /// How long generations wait for memory.
-    pub waiting: WaitingConfig,
+    pub waiting: WaitQueueConfig,
     /// When refused generations come back.
     pub return_after: Millis,
     /// Share of that time over which they are spread.
@@ -290,8 +290,8 @@
 
 impl GatewayConfig {
     /// When refused generations come back.
-    pub(crate) fn returns(&self) -> ReturnConfig {
-        ReturnConfig { after: self.return_after, spread: self.return_spread }
+    pub(crate) fn returns(&self) -> RetryAfterConfig {
+        RetryAfterConfig { delay: self.return_after, spread: self.return_spread }
     }
 
     /// Makes the configuration of checked values.
@@ -330,14 +330,14 @@
                 accept_for: ACCEPT_AFTER_SIGNAL,
                 margin: SHUTDOWN_MARGIN,
             },
-            waiting: WaitingConfig {
+            waiting: WaitQueueConfig {
                 order: match values.text("waiting", "order") {
-                    "arrival" => LineOrder::Arrival,
-                    _ => LineOrder::Account,
+                    "arrival" => QueueOrder::Arrival,
+                    _ => QueueOrder::Account,
                 },
                 target_share: values.real("waiting", "target_share"),
                 late_wait: values.millis("waiting", "late_wait_ms"),
-                ..WaitingConfig::default()
+                ..WaitQueueConfig::default()
             },
             return_after: values.millis("waiting", "return_after_ms"),
             return_spread: values.real("waiting", "return_spread"),
--- a/crates/bulrushusher_gateway/src/store/orders.rs
+++ b/crates/bulrushusher_gateway/src/store/orders.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use bulrushusher_forward::{
-    Born, DutyConfig, Runner, Stage, StageChange, StageDuty, StagesConfig, StartNews,
+    Born, OrderLease, OrderLeaseConfig, Runner, Stage, StageChange, StagesConfig, StartNews,
     next_stage_change,
 };
 use bulrushusher_report::GatewayMetrics;
@@ -77,7 +77,7 @@
 /// What is known of one service's duty.
 #[derive(Debug)]
 struct Duty {
-    may: StageDuty,
+    may: OrderLease,
     ordered: BTreeMap<RunnerId, Ordered>,
     off_since: Option<Millis>,
     /// Runners listed, and since when their number is the same.
@@ -111,7 +111,7 @@
                 restores.mark_unchanged();
                 let now = self.knowledge.now();
                 restored_at = Some(now);
-                duties.values_mut().for_each(|duty| duty.may.note_restore(now));
+                duties.values_mut().for_each(|duty| duty.may.record_restore(now));
             }
             if self.lifecycle.is_stopping() || !self.knowledge.is_complete() {
                 continue;
@@ -140,10 +140,10 @@
 
     fn new_duty(&self, restored_at: Option<Millis>) -> Duty {
         let lease = self.knowledge.cfg().lease;
-        let cfg = DutyConfig { lease, order_within: CALL_TIMEOUT };
-        let mut may = StageDuty::new(cfg);
+        let cfg = OrderLeaseConfig { lease, max_order_delay: CALL_TIMEOUT };
+        let mut may = OrderLease::new(cfg);
         if let Some(at) = restored_at {
-            may.note_restore(at);
+            may.record_restore(at);
         }
         Duty {
             may,
@@ -171,7 +171,7 @@
         let off_since = *duty.off_since.get_or_insert(now);
         let goes_on = duty.last_order.is_some_and(|at| now.since(at) < GOES_ON);
         let is_first = !duty.has_record;
-        let is_due = goes_on || is_first || now.since(off_since) >= cfg.off_for;
+        let is_due = goes_on || is_first || now.since(off_since) >= cfg.min_imbalance_time;
         if !is_due || now.since(duty.counted.1) < COUNT_SETTLES {
             return;
         }
@@ -284,7 +284,7 @@
         let written = self.store.write_record(name, value, revision, CALL_TIMEOUT).await;
         match written.map_err(|e| e.to_string())? {
             RecordWrite::Written(revision) => {
-                duty.may.written(revision);
+                duty.may.record_write(revision);
                 Ok(revision)
             }
             RecordWrite::Conflict => Err("another gateway wrote first".to_owned()),
--- a/crates/bulrushusher_model/src/fleet.rs
+++ b/crates/bulrushusher_model/src/fleet.rs
@@ -1,6 +1,6 @@
 //! Gateways and engines that a load is played on.
 
-use bulrushusher_forward::{ForecastConfig, ReturnConfig, WaitingConfig};
+use bulrushusher_forward::{ForecastConfig, RetryAfterConfig, WaitQueueConfig};
 use bulrushusher_time::Millis;
 
 use crate::EngineFigures;
@@ -35,9 +35,9 @@
     /// How memory is given to runs.
     pub admission: Admission,
     /// How long callers wait.
-    pub waiting: WaitingConfig,
+    pub waiting: WaitQueueConfig,
     /// When refused callers come back.
-    pub returns: ReturnConfig,
+    pub returns: RetryAfterConfig,
     /// True when gateways tell each other their runs.
     pub peers_speak: bool,
     /// Time until a gateway's report has been taken in by the others.
@@ -62,8 +62,8 @@
             decodes: 9,
             figures: EngineFigures::default(),
             admission: Admission::Forecast(ForecastConfig::default()),
-            waiting: WaitingConfig::default(),
-            returns: ReturnConfig { after: Millis(4_000), spread: 0.2 },
+            waiting: WaitQueueConfig::default(),
+            returns: RetryAfterConfig { delay: Millis(4_000), spread: 0.2 },
             peers_speak: true,
             report_lag: REPORT_LAG,
             loses: None,
--- a/crates/bulrushusher_model/src/limits.rs
+++ b/crates/bulrushusher_model/src/limits.rs
@@ -272,7 +272,7 @@
                 self.gateways = (0..count).map(|nth| self.gateway(nth, now + AWAY)).collect();
                 for gateway in &mut self.gateways {
                     if let Keeper::Few(pressure) = &mut gateway.keeper {
-                        pressure.note_announced(count - 1);
+                        pressure.set_announced(count - 1);
                     }
                 }
             }
@@ -289,7 +289,7 @@
             Keeper::Few(pressure) => {
                 pressure.refresh(at);
                 pressure.is_open(&self.runner, draw, at)
-                    && pressure.take(&self.runner, 1, at).is_ok()
+                    && pressure.acquire(&self.runner, 1, at).is_ok()
             }
             // Nothing is known of the limit before the first answer.
             Keeper::Bucket(_) if gateway.told_at.is_none() => true,
@@ -319,7 +319,7 @@
             gateway.told_at.get_or_insert(now);
             match &mut gateway.keeper {
                 Keeper::Few(pressure) => {
-                    let before = pressure.hear(&self.runner, signals, Millis(now));
+                    let before = pressure.record_signals(&self.runner, signals, Millis(now));
                     gateway.is_due |= before != signals;
                 }
                 Keeper::Bucket(book) => {
@@ -366,8 +366,8 @@
             let name = format!("gateway-{from}");
             match (&mut gateway.keeper, word) {
                 (Keeper::Few(pressure), Word::Limits(words)) => {
-                    pressure.note_gateway(&name, Millis(now));
-                    pressure.hear_reports(&words, Millis(now));
+                    pressure.record_gateway(&name, Millis(now));
+                    pressure.merge_reports(&words, Millis(now));
                 }
                 (Keeper::Bucket(book), Word::Spends(spends)) => {
                     book.hear(&name, life, &spends, true, Millis(now));
--- a/crates/bulrushusher_model/src/memory.rs
+++ b/crates/bulrushusher_model/src/memory.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeSet;
 
 use bulrushusher_forward::{
-    Candidate, ForecastConfig, MemoryForecast, RunNote, RunShape, Runner, asks_now, rank_for_decode,
+    ForecastConfig, MemoryForecast, RunNote, RunShape, Runner, SelectionContext, rank_for_decode,
+    should_request_memory,
 };
 use bulrushusher_time::Millis;
 use bulrushusher_world::RunnerId;
@@ -31,7 +32,7 @@
         };
         let draw = self.rng.random();
         let ranked = rank_for_decode(self.candidate(&failing, now), &[], draw, peak);
-        if !asks_now(self.rng.random(), others, ranked.len()) {
+        if !should_request_memory(self.rng.random(), others, ranked.len()) {
             return None;
         }
         let places = ranked.iter().filter_map(|r| self.ids.iter().position(|id| *id == r.id));
@@ -44,8 +45,8 @@
         &'b self,
         failing: &'b BTreeSet<RunnerId>,
         now: Millis,
-    ) -> Candidate<'b> {
-        Candidate {
+    ) -> SelectionContext<'b> {
+        SelectionContext {
             members: &self.members,
             loads: &self.loads,
             service: &self.service,
@@ -118,5 +119,5 @@
 
 fn shape(arrival: &Arrival) -> RunShape {
     let Arrival { prompt, expected, most, .. } = *arrival;
-    RunShape { prompt, made: 0.0, expected, most }
+    RunShape { prompt, generated: 0.0, expected, max_output: most }
 }
--- a/crates/bulrushusher_model/src/play.rs
+++ b/crates/bulrushusher_model/src/play.rs
@@ -4,8 +4,9 @@
 use std::net::SocketAddr;
 
 use bulrushusher_forward::{
-    Claim, GatewayReport, HealthConfig, LoadConfig, Members, MembersConfig, Pace, PaceConfig,
-    PeersConfig, Rank, RunNumber, Runner, RunnerHealth, RunnerLoads, Runs, Stage, WaitingLine,
+    AccountCost, GatewayReport, HealthConfig, LoadConfig, Members, MembersConfig, PeersConfig,
+    QueueRank, RunNumber, Runner, RunnerHealth, RunnerLoads, Runs, Stage, TimingConfig,
+    TimingModel, WaitQueue,
 };
 use bulrushusher_time::Millis;
 use bulrushusher_world::{RunnerId, ServiceName};
@@ -36,7 +37,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum State {
     Away { until: Millis },
-    Waiting { rank: Rank, until: Millis, ask_at: Millis },
+    Waiting { rank: QueueRank, until: Millis, ask_at: Millis },
     Read { decode: usize, run: RunNumber },
     Running { decode: usize, run: RunNumber },
     Over,
@@ -53,9 +54,9 @@
 }
 
 pub(crate) struct Gateway {
-    line: WaitingLine,
+    line: WaitQueue,
     pub runs: Runs,
-    pub pace: Pace,
+    pub pace: TimingModel,
     pub health: RunnerHealth,
     reports: u64,
 }
@@ -109,9 +110,9 @@
             members.put(runner);
         }
         let gateway = || Gateway {
-            line: WaitingLine::new(fleet.waiting),
+            line: WaitQueue::new(fleet.waiting),
             runs: Runs::new(PeersConfig::default()),
-            pace: Pace::new(PaceConfig::default()),
+            pace: TimingModel::new(TimingConfig::default()),
             health: RunnerHealth::new(HealthConfig::default()),
             reports: 0,
         };
@@ -217,7 +218,7 @@
     /// The engine fails the run; it may not be repeated.
     fn fail(&mut self, n: usize, decode: usize, now: Millis) {
         let gateway = self.callers[n].gateway;
-        self.gateways[gateway].health.note(&self.ids[decode], false, now);
+        self.gateways[gateway].health.record(&self.ids[decode], false, now);
         self.release(n);
         self.callers[n].state = State::Over;
         self.outcome.failed += 1;
@@ -272,13 +273,13 @@
             false => self.outcome.late += 1,
         }
         self.outcome.on_time_by_centre[gateway % DATA_CENTRES] += usize::from(on_time);
-        self.gateways[gateway].health.note(&self.ids[decode], true, now);
+        self.gateways[gateway].health.record(&self.ids[decode], true, now);
         if is_large(&arrival, self.fleet) {
             self.outcome.large_served += 1;
         }
         let took = Millis((run.total * self.fleet.figures.step_ms * 1.25) as u64);
         let (expected, made) = (arrival.expected as u64, run.total as u64);
-        self.gateways[gateway].pace.note_generation(took, expected, made);
+        self.gateways[gateway].pace.record_generation(took, expected, made);
         self.release(n);
         self.callers[n].state = State::Over;
     }
@@ -323,16 +324,16 @@
     fn come(&mut self, n: usize, now: Millis) {
         let late = now.since(self.callers[n].arrival.at) >= TARGET;
         let line = &mut self.gateways[self.callers[n].gateway].line;
-        let rank = line.join(late, 1, Claim::default(), now);
-        let until = now.plus(line.longest_wait(late, TARGET));
+        let rank = line.join(late, 1, AccountCost::default(), now);
+        let until = now.plus(line.max_wait(late, TARGET));
         self.callers[n].state = State::Waiting { rank, until, ask_at: now };
     }
 
-    fn wait(&mut self, n: usize, rank: Rank, until: Millis, now: Millis) {
+    fn wait(&mut self, n: usize, rank: QueueRank, until: Millis, now: Millis) {
         let gateway = self.callers[n].gateway;
         let late_behind = rank.late && self.gateways[gateway].runs.peers_wait_on_time(now);
         let others = self.gateways[gateway].runs.peers_that_wait(now);
-        if self.gateways[gateway].line.may_ask(&rank)
+        if self.gateways[gateway].line.may_request_memory(&rank)
             && !late_behind
             && let Some(decode) = self.find_memory(n, others, now)
         {
@@ -358,7 +359,7 @@
             return;
         }
         let left = PATIENCE.since(now.since(caller.arrival.at));
-        let told = self.fleet.returns.come_back(left, self.rng.random());
+        let told = self.fleet.returns.retry_after(left, self.rng.random());
         let comes = if caller.arrival.impatient { Millis(0) } else { told };
         caller.state = State::Away { until: now.plus(comes) };
     }
@@ -381,7 +382,7 @@
                 waiting: teller.line.on_time() as u32,
                 waiting_late: (teller.line.len() - teller.line.on_time()) as u32,
                 runs: teller.runs.own().cloned().collect(),
-                failing: teller.health.told(&BTreeSet::new(), now),
+                failing: teller.health.reports(&BTreeSet::new(), now),
                 ..GatewayReport::default()
             };
             self.reports.push_back(Sent { at: now, from, report });
--- a/crates/bulrushusher_model/src/readers.rs
+++ b/crates/bulrushusher_model/src/readers.rs
@@ -3,7 +3,9 @@
 //!
 //! The gateways' knowledge is exact here, so that what is measured is the choice itself.
 
-use bulrushusher_forward::{DecodeLoad, Pace, PaceConfig, Prompt, ReadConfig, Reader};
+use bulrushusher_forward::{
+    DecodeLoad, PrefillSite, PrefillSiteConfig, PrefillTask, TimingConfig, TimingModel,
+};
 use bulrushusher_time::Millis;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -141,7 +143,7 @@
     rng: ChaCha8Rng,
     /// Where the events of runs lie; drawn apart, so that all policies meet the same prompts.
     phases: ChaCha8Rng,
-    pace: Pace,
+    pace: TimingModel,
     /// When each runner has read what it has.
     prefill_free: Vec<f64>,
     decode_free: Vec<f64>,
@@ -161,7 +163,7 @@
         policy,
         rng: ChaCha8Rng::seed_from_u64(seed),
         phases: ChaCha8Rng::seed_from_u64(seed + 1_000),
-        pace: Pace::new(PaceConfig::default()),
+        pace: TimingModel::new(TimingConfig::default()),
         prefill_free: vec![0.0; load.prefills],
         decode_free: vec![0.0; load.decodes],
         outcome: ReadingOutcome::default(),
@@ -200,7 +202,7 @@
             let tokens = self.draw_tokens();
             let ahead = self.draw_tokens() * f64::from(self.rng.random_range(0..3_u8));
             let took = self.shape.constant_ms + (ahead + tokens) * self.shape.ms_per_token;
-            self.pace.note_read((ahead + tokens) as u64, Millis(took as u64));
+            self.pace.record_prefill((ahead + tokens) as u64, Millis(took as u64));
         }
     }
 
@@ -216,52 +218,54 @@
         let decode = first_free(&self.decode_free);
         let there = (self.decode_free[decode] - now).max(0.0) / (2.0 * self.shape.ms_per_token);
         match self.choose(tokens, ahead, there, left) {
-            Some(Reader::Prefill) => {
+            Some(PrefillSite::Prefill) => {
                 let begin = self.prefill_free[prefill].max(now);
                 self.prefill_free[prefill] = begin + tokens * self.shape.ms_per_token;
                 let read = self.prefill_free[prefill] + self.shape.constant_ms;
-                self.pace.note_read((ahead + tokens) as u64, Millis((read - now) as u64));
+                self.pace.record_prefill((ahead + tokens) as u64, Millis((read - now) as u64));
                 self.note_first_event(read - came);
             }
-            Some(Reader::Decode) => self.read_at_decode(now, came, tokens, there, decode),
+            Some(PrefillSite::Decode) => self.read_at_decode(now, came, tokens, there, decode),
             None => return false,
         }
         true
     }
 
-    fn choose(&self, tokens: f64, ahead: f64, there: f64, left: f64) -> Option<Reader> {
+    fn choose(&self, tokens: f64, ahead: f64, there: f64, left: f64) -> Option<PrefillSite> {
         let event_gap = self.shape.stride * self.shape.step_ms;
         if self.policy == ReadingPolicy::Fixed {
             let whole = (self.shape.constant_ms / MEAN_TOKENS + self.shape.ms_per_token) * tokens;
             let rate = whole / tokens;
             let may = there == 0.0 && 2.0 * whole + event_gap <= 0.6 * GAP_TARGET_MS;
             return match (ahead + tokens) * rate <= left {
-                true => Some(Reader::Prefill),
-                false => may.then_some(Reader::Decode),
+                true => Some(PrefillSite::Prefill),
+                false => may.then_some(PrefillSite::Decode),
             };
         }
-        let prompt = Prompt {
+        let prompt = PrefillTask {
             tokens: tokens as u64,
-            ahead: Some(ahead as u64),
-            at_prefill: self.pace.prefill(),
-            at_decode: self.pace.decode(),
+            queued_tokens: Some(ahead as u64),
+            prefill_timing: self.pace.prefill(),
+            decode_timing: self.pace.decode(),
             event_gap: Millis(event_gap as u64),
             gap_target: Millis(GAP_TARGET_MS as u64),
             pauses: self.pace.pauses(),
             generation: GENERATION,
-            left_on_time: Millis(left as u64),
+            time_to_target: Millis(left as u64),
         };
         let load = DecodeLoad {
-            reading: there as u64,
+            prefilling_tokens: there as u64,
             runs: self.load.runs,
             fullness: self.load.fullness,
         };
-        let cfg = ReadConfig::default();
-        let in_time = Millis(left as u64).since(cfg.first_event);
-        match (prompt.reader(load, cfg), prompt.prefill_is_in_time(in_time)) {
-            (Reader::Prefill, true) => Some(Reader::Prefill),
-            (Reader::Prefill, false) => prompt.decode_may_read(load).then_some(Reader::Decode),
-            (Reader::Decode, _) => Some(Reader::Decode),
+        let cfg = PrefillSiteConfig::default();
+        let in_time = Millis(left as u64).since(cfg.first_event_delay);
+        match (prompt.select_site(load, cfg), prompt.prefill_runner_is_in_time(in_time)) {
+            (PrefillSite::Prefill, true) => Some(PrefillSite::Prefill),
+            (PrefillSite::Prefill, false) => {
+                prompt.decode_may_prefill(load).then_some(PrefillSite::Decode)
+            }
+            (PrefillSite::Decode, _) => Some(PrefillSite::Decode),
         }
     }
 
@@ -274,7 +278,7 @@
         self.outcome.decode_ms += reading;
         let read = begin + reading + pieces * shape.step_ms + shape.constant_ms;
         if there == 0.0 {
-            self.pace.note_decode_read(tokens as u64, Millis((read - now) as u64));
+            self.pace.record_decode_prefill(tokens as u64, Millis((read - now) as u64));
         }
         let piece_ms = 2.0 * shape.piece * shape.ms_per_token;
         let whole = pieces * piece_ms + shape.stride * shape.step_ms;
@@ -287,12 +291,12 @@
             longest = longest.max(pause);
             self.outcome.made_late += u32::from(pause > GAP_TARGET_MS);
         }
-        self.pace.note_pause(whole, Millis(longest as u64));
+        self.pace.record_pause(whole, Millis(longest as u64));
         self.note_first_event(read - came);
     }
 
     fn note_first_event(&mut self, read_ms: f64) {
-        let first_event = ReadConfig::default().first_event.0 as f64;
+        let first_event = PrefillSiteConfig::default().first_event_delay.0 as f64;
         self.outcome.on_time += u32::from(read_ms + first_event <= TARGET_MS);
     }
 }
--- a/crates/bulrushusher_model/tests/patterns.rs
+++ b/crates/bulrushusher_model/tests/patterns.rs
@@ -3,7 +3,7 @@
 //! The model has no network and a fixed seed, so every figure repeats. The bounds leave some room
 //! on the worse side of what was measured when they were set.
 
-use bulrushusher_forward::{ForecastConfig, StagesConfig, WaitingConfig};
+use bulrushusher_forward::{ForecastConfig, StagesConfig, WaitQueueConfig};
 use bulrushusher_model::{Admission, EngineFigures, Fleet, Load, Outcome, Pattern, arrivals, play};
 use bulrushusher_time::Millis;
 
@@ -79,7 +79,7 @@
 
 #[test]
 fn under_overload_waiting_half_of_the_target_serves_more_on_time_than_an_eighth() {
-    let short = WaitingConfig { target_share: 0.125, ..WaitingConfig::default() };
+    let short = WaitQueueConfig { target_share: 0.125, ..WaitQueueConfig::default() };
     let short = played(Pattern::Overload, Fleet { waiting: short, ..forecast() });
     let ours = played(Pattern::Overload, forecast());
     assert!(ours.on_time > short.on_time, "{ours:?} {short:?}");
@@ -141,7 +141,7 @@
         let fleet = Fleet { gateways: 8, prefills, decodes, figures, ..Fleet::default() };
         play(&fleet, &arrivals(&load, SEED), SEED).goodput()
     };
-    let wanted = StagesConfig::default().wanted_prefill(ENGINES).round() as usize;
+    let wanted = StagesConfig::default().target_prefill(ENGINES).round() as usize;
     let ours = goodput(wanted);
     assert!(ours > goodput(ENGINES / 4) + 0.01, "a quarter is too many");
     assert!(ours > goodput(ENGINES / 8) + 0.1, "an eighth is too few");
