--- a/crates/bulrushusher_forward/benches/place.rs
+++ b/crates/bulrushusher_forward/benches/place.rs
@@ -1,6 +1,6 @@
-//! What one choice of a decode runner costs a gateway, by the size of the pool.
+//! Cost of selecting a decode runner, by the size of the pool.
 //!
-//! `cargo bench -p bulrushusher_forward` runs it.
+//! Run with `cargo bench -p bulrushusher_forward`.
 
 use bulrushusher_forward::{
     ForecastConfig, GatewayReport, LengthModel, LoadConfig, Members, MembersConfig, MemoryForecast,
@@ -11,8 +11,8 @@
 use bulrushusher_world::{RunnerId, ServiceName};
 use criterion::{Criterion, criterion_group, criterion_main};
 
-/// Runs at each runner: memory for prompts of 5,000 tokens is nearly full.
-const RUNS_EACH: usize = 8;
+/// Runs per runner, which nearly fill its memory with prompts of 5,000 tokens.
+const RUNS_PER_RUNNER: usize = 8;
 
 const RUN: RunShape =
     RunShape { prompt: 4_800.0, generated: 0.0, expected: 3_000.0, max_output: 9_000.0 };
@@ -26,12 +26,12 @@
 }
 
 fn runner_id(n: usize) -> RunnerId {
-    format!("i-{n:010}").as_str().try_into().expect("a good name")
+    format!("i-{n:010}").as_str().try_into().expect("valid name")
 }
 
-/// A pool as one of its gateways sees it: the runs are spread over the others.
+/// A pool as one gateway sees it; its runs are spread over the other gateways.
 fn pool(runners: usize, gateways: usize) -> Pool {
-    let service: ServiceName = "llm".try_into().expect("a good name");
+    let service: ServiceName = "llm".try_into().expect("valid name");
     let mut members = Members::new(MembersConfig::default());
     for n in 0..runners {
         members.put(Runner {
@@ -39,14 +39,14 @@
             born: None,
             service: service.clone(),
             address: ([10, 0, 0, 1], 1 + n as u16).into(),
-            data_centre: "a".try_into().expect("a good name"),
+            data_centre: "a".try_into().expect("valid name"),
             slots: 64,
             stage: Some(Stage::Decode),
             leaving: false,
         });
     }
     let mut reports = vec![GatewayReport { number: 1, ..GatewayReport::default() }; gateways];
-    for run in 0..runners * RUNS_EACH {
+    for run in 0..runners * RUNS_PER_RUNNER {
         let generated = (run * 977 % 4_000) as f64;
         let note = RunNote::new(runner_id(run % runners), RunShape { generated, ..RUN });
         reports[run % gateways].runs.push(RunNote { begun: true, ..note });
@@ -85,7 +85,7 @@
     }
 }
 
-fn choose(c: &mut Criterion) {
+fn rank_benchmark(c: &mut Criterion) {
     for (runners, gateways) in [(30, 31), (60, 31), (300, 300)] {
         let pool = pool(runners, gateways);
         let name = format!("place at {runners} runners, {gateways} gateways");
@@ -93,5 +93,5 @@
     }
 }
 
-criterion_group!(benches, choose);
+criterion_group!(benches, rank_benchmark);
 criterion_main!(benches);
--- a/crates/bulrushusher_forward/tests/back_pressure.rs
+++ b/crates/bulrushusher_forward/tests/back_pressure.rs
@@ -1,4 +1,4 @@
-//! What runners asked for binds, whatever comes in which order.
+//! Back-pressure is binding, in whatever order signals and requests arrive.
 
 use bulrushusher_forward::{
     BackPressure, BackPressureConfig, BackPressureError, Born, LimitReport, RateLimit, Runner,
@@ -28,7 +28,7 @@
     Some(RateLimit::try_from(text).unwrap())
 }
 
-fn names(text: &str) -> RunnerSignals {
+fn with_limit(text: &str) -> RunnerSignals {
     RunnerSignals { rate_limit: limit(text), ..RunnerSignals::default() }
 }
 
@@ -36,10 +36,10 @@
     RunnerSignals { retry_after: Some(Millis(length)), ..RunnerSignals::default() }
 }
 
-/// Something that happens at a gateway.
+/// An event at a gateway.
 #[derive(Clone, Debug)]
 enum Step {
-    Pass(u64),
+    Wait(u64),
     Refused { retry_after: u64 },
     Answered { limit: Option<u8> },
     Send,
@@ -47,7 +47,7 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        (0..900_u64).prop_map(Step::Pass),
+        (0..900_u64).prop_map(Step::Wait),
         (0..4_000_u64).prop_map(|retry_after| Step::Refused { retry_after }),
         prop::option::of(0..9_u8).prop_map(|limit| Step::Answered { limit }),
         Just(Step::Send),
@@ -55,38 +55,39 @@
 }
 
 proptest! {
-    /// No request goes out in a backoff, and answers that were on their way do not end it.
+    /// No request is sent during a backoff, and answers that were already in flight do not end it.
     #[test]
-    fn nothing_is_sent_in_a_backoff(steps in prop::collection::vec(step(), 1..120)) {
+    fn nothing_is_sent_during_a_backoff(steps in prop::collection::vec(step(), 1..120)) {
         let (mut pressure, runner) = (pressure(), runner(1));
         let (mut now, mut until) = (Millis(1_000), Millis(0));
         for step in steps {
             match step {
-                Step::Pass(length) => now = now.plus(Millis(length)),
+                Step::Wait(length) => now = now.plus(Millis(length)),
                 Step::Refused { retry_after: length } => {
                     pressure.record_signals(&runner, retry_after(length), now);
                     until = until.max(now.plus(Millis(length)));
                 }
                 Step::Answered { limit } => {
-                    let signals = limit.map_or(RunnerSignals::default(), |it| names(&it.to_string()));
+                    let signals = limit.map(|it| with_limit(&it.to_string())).unwrap_or_default();
                     pressure.record_signals(&runner, signals, now);
                 }
                 Step::Send => {
                     let sent = pressure.acquire(&runner, 1, now);
-                    prop_assert!(sent.is_err() || now >= until, "sent at {now}, backs off until {until}");
+                    prop_assert!(sent.is_err() || now >= until, "sent at {now} before {until}");
                 }
             }
         }
     }
 
-    /// A gateway alone never goes beyond one and a half times a limit, and five requests, in four seconds.
+    /// A single gateway sends at most one and a half times the limit plus five requests in four
+    /// seconds.
     #[test]
-    fn a_gateway_alone_keeps_to_a_limit(
+    fn a_single_gateway_respects_a_limit(
         per_second in 0.0..40.0_f64,
         gaps in prop::collection::vec(0..200_u64, 1..400),
     ) {
         let (mut pressure, runner) = (pressure(), runner(1));
-        let signals = names(&per_second.to_string());
+        let signals = with_limit(&per_second.to_string());
         let mut now = Millis(1_000);
         pressure.record_signals(&runner, signals, now);
         let mut sent: Vec<Millis> = Vec::new();
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn a_later_start_owes_nothing_of_the_word_of_an_earlier_one() {
+fn signals_of_an_earlier_process_start_do_not_apply_to_a_later_one() {
     let mut pressure = pressure();
     pressure.record_signals(&runner(1), retry_after(3_000), Millis(0));
     assert_eq!(pressure.acquire(&runner(1), 1, Millis(10)), Err(BackPressureError::RetryAfter));
@@ -114,12 +115,12 @@
     pressure.record_signals(&runner(1), retry_after(3_000), Millis(30));
     assert!(
         pressure.acquire(&runner(2), 1, Millis(40)).is_ok(),
-        "a late answer of the start before"
+        "the backoff is of an earlier process start"
     );
 }
 
 #[test]
-fn a_backoff_has_a_longest_length() {
+fn a_backoff_has_a_maximum_length() {
     let cfg = BackPressureConfig::default();
     let mut pressure = pressure();
     pressure.record_signals(&runner(1), retry_after(u64::MAX), Millis(0));
@@ -127,21 +128,22 @@
     assert!(pressure.acquire(&runner(1), 1, cfg.max_backoff).is_ok());
 }
 
-/// Answers overtake each other: one without a limit does not end it while others just signalled it.
+/// Answers may arrive out of order: one without a limit does not end a limit that was just
+/// signalled.
 #[test]
-fn a_limit_ends_a_moment_after_it_was_named_last() {
+fn a_limit_lingers_after_its_last_signal() {
     let mut pressure = pressure();
-    pressure.record_signals(&runner(1), names("0"), Millis(0));
+    pressure.record_signals(&runner(1), with_limit("0"), Millis(0));
     pressure.record_signals(&runner(1), RunnerSignals::default(), Millis(10));
     assert_eq!(pressure.acquire(&runner(1), 1, Millis(20)), Err(BackPressureError::RateLimit));
     pressure.record_signals(&runner(1), RunnerSignals::default(), Millis(1_200));
     assert!(pressure.acquire(&runner(1), 1, Millis(1_210)).is_ok());
 }
 
-/// What a peer tells counts by its age: an older word does not bring a limit back.
+/// Reports of peers are ordered by age: an older one does not restore a limit that has ended.
 #[test]
-fn the_latest_word_of_a_limit_counts() {
-    let word = |limit, age| LimitReport {
+fn the_latest_report_of_a_limit_applies() {
+    let report = |limit, age| LimitReport {
         runner: "i-1".try_into().unwrap(),
         born: Some(Born(1)),
         limit,
@@ -149,12 +151,12 @@
     };
     let mut pressure = pressure();
     let open = |pressure: &BackPressure, at| pressure.is_open(&runner(1), 0.99, Millis(at));
-    pressure.merge_reports(&[word(limit("0"), 100)], Millis(10_000));
+    pressure.merge_reports(&[report(limit("0"), 100)], Millis(10_000));
     assert!(!open(&pressure, 10_010));
-    pressure.merge_reports(&[word(None, 0)], Millis(12_000));
+    pressure.merge_reports(&[report(None, 0)], Millis(12_000));
     assert!(open(&pressure, 12_010));
-    pressure.merge_reports(&[word(limit("0"), 1_500)], Millis(12_020));
-    assert!(open(&pressure, 12_030), "it was signalled before it ended");
-    pressure.merge_reports(&[word(limit("0"), 0)], Millis(12_040));
+    pressure.merge_reports(&[report(limit("0"), 1_500)], Millis(12_020));
+    assert!(open(&pressure, 12_030), "signalled before the limit ended");
+    pressure.merge_reports(&[report(limit("0"), 0)], Millis(12_040));
     assert!(!open(&pressure, 12_050));
 }
--- a/crates/bulrushusher_forward/tests/memory_machine.rs
+++ b/crates/bulrushusher_forward/tests/memory_machine.rs
@@ -1,10 +1,10 @@
-//! What gateways know of each other's decode memory, as a state machine against an oracle that only
-//! counts: which runs each gateway holds, and which report each peer heard last.
+//! State machine test of the decode memory use that gateways report to one another, against a model
+//! that only counts the runs of each gateway and keeps the last report that each peer received.
 //!
-//! Reports are lost, late, doubled and overtaken; callers leave; gateways restart, also with a clock
-//! that was set back; runners start again under their identity, which each gateway learns at another
-//! time. Fixed seeds: every run plays the same cases. `BULRUSH_FUZZ_CASES` sets their
-//! number.
+//! Reports are lost, delayed, duplicated and reordered; callers leave; gateways restart, also with
+//! a clock that was set back; runners restart under the same id, which each gateway learns at a
+//! different time. Seeds are fixed, so every run has the same cases. `BULRUSH_FUZZ_CASES` sets
+//! their number.
 
 use std::collections::BTreeMap;
 
@@ -15,70 +15,70 @@
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-const USUAL_CASES: u32 = 2_000;
+const DEFAULT_CASES: u32 = 2_000;
 const GATEWAYS: usize = 3;
 const RUNNERS: u8 = 3;
 
-/// When the play begins; far enough from zero that clocks can be set back.
+/// Start of the simulated time, far enough from zero that clocks can be set back.
 const START: Millis = Millis(1_000_000);
 
-/// What happens next. Indices are taken modulo what there is.
+/// A transition. Indices are taken modulo the number of items.
 #[derive(Clone, Debug)]
 enum Step {
     /// A gateway holds memory for a run.
     Hold { gateway: usize, runner: u8, prompt: u64 },
-    /// A run goes on: it made that many tokens.
+    /// A run has generated that many tokens.
     Progress { gateway: usize, run: usize, made: u64 },
     /// A run is over: answered, cancelled, refused or lost.
     End { gateway: usize, run: usize },
-    /// A gateway writes its report, which is now on its way to all peers.
-    Tell { gateway: usize },
-    /// A peer hears a report that is on its way. It may be heard again.
-    Hear { gateway: usize, message: usize },
+    /// A gateway sends its report to all peers.
+    Send { gateway: usize },
+    /// A peer receives a report that was sent, possibly more than once.
+    Receive { gateway: usize, message: usize },
     /// Time passes.
-    Pass { ms: u64 },
-    /// A gateway dies and starts again with nothing; its clock may be behind that of its last life.
+    Wait { ms: u64 },
+    /// A gateway crashes and restarts without state; its clock may be behind its earlier time.
     Restart { gateway: usize, clock_back_ms: u64 },
-    /// A runner starts again; nobody knows yet.
-    StartAgain { runner: u8 },
-    /// A gateway learns the present start of a runner, or an earlier one that comes late.
+    /// A runner restarts; no gateway has learned of it yet.
+    RunnerRestart { runner: u8 },
+    /// A gateway learns the current process start of a runner, or an earlier one that arrives late.
     Learn { gateway: usize, runner: u8, late: bool },
 }
 
-/// A report on its way, as the oracle sees it: who wrote it, and the runs at each runner then.
+/// A sent report in the model: its sender and the number of runs at each runner.
 #[derive(Clone, Debug)]
-struct Written {
+struct SentReport {
     from: usize,
     life: u64,
     number: u64,
     runs: BTreeMap<u8, usize>,
-    /// The runners' starts that the writer knew.
+    /// Process starts of runners that the sender knew.
     starts: BTreeMap<u8, u64>,
 }
 
-/// What a peer heard last of another gateway.
+/// The last report that a gateway received from a peer.
 #[derive(Clone, Debug)]
-struct Heard {
+struct Received {
     message: usize,
     at: Millis,
 }
 
-/// The oracle: plain counts.
+/// The model: plain counts.
 #[derive(Clone, Debug)]
-struct Counts {
+struct Model {
     now: Millis,
-    /// Runners of the live runs of each gateway, in the order in which they were held.
+    /// Runners of the live runs of each gateway, in the order of their holds.
     live: Vec<Vec<u8>>,
-    lives: Vec<u64>,
+    boot_times: Vec<u64>,
     numbers: Vec<u64>,
-    written: Vec<Written>,
-    heard: BTreeMap<(usize, usize), Heard>,
-    /// Start of each runner, and what each gateway knows of it.
+    sent: Vec<SentReport>,
+    received: BTreeMap<(usize, usize), Received>,
+    /// Process start of each runner, and the one that each gateway knows.
     born: BTreeMap<u8, u64>,
     known: Vec<BTreeMap<u8, u64>>,
 }
 
-impl Counts {
+impl Model {
     fn by_runner(&self, gateway: usize) -> BTreeMap<u8, usize> {
         let mut counts = BTreeMap::new();
         for runner in &self.live[gateway] {
@@ -87,28 +87,30 @@
         counts
     }
 
-    fn is_fresh(&self, heard: &Heard) -> bool {
-        self.now.since(heard.at) < PeersConfig::default().forget_after
+    fn is_fresh(&self, received: &Received) -> bool {
+        self.now.since(received.at) < PeersConfig::default().forget_after
     }
 
-    /// A later report of the same peer was heard, and that peer is not silent since.
-    fn is_overtaken(&self, gateway: usize, message: &Written) -> bool {
-        self.heard.get(&(gateway, message.from)).is_some_and(|heard| {
-            let known = &self.written[heard.message];
-            self.is_fresh(heard) && (message.life, message.number) <= (known.life, known.number)
+    /// True if a later report of the same peer was received and has not expired.
+    fn is_outdated(&self, gateway: usize, message: &SentReport) -> bool {
+        self.received.get(&(gateway, message.from)).is_some_and(|received| {
+            let known = &self.sent[received.message];
+            self.is_fresh(received) && (message.life, message.number) <= (known.life, known.number)
         })
     }
 
-    /// Runs at a runner in the sight of a gateway.
-    fn seen(&self, gateway: usize, runner: u8) -> usize {
+    /// Number of runs at a runner that a gateway should know of.
+    fn known_runs(&self, gateway: usize, runner: u8) -> usize {
         let own = self.by_runner(gateway).get(&runner).copied().unwrap_or(0);
-        let told =
-            self.heard.iter().filter(|((to, _), heard)| *to == gateway && self.is_fresh(heard));
+        let fresh = self
+            .received
+            .iter()
+            .filter(|((to, _), received)| *to == gateway && self.is_fresh(received));
         let known = self.known[gateway].get(&runner);
-        let of_this_start = told
-            .map(|(_, heard)| &self.written[heard.message])
-            .filter(|written| written.starts.get(&runner) >= known);
-        own + of_this_start.filter_map(|written| written.runs.get(&runner)).sum::<usize>()
+        let of_this_start = fresh
+            .map(|(_, received)| &self.sent[received.message])
+            .filter(|sent| sent.starts.get(&runner) >= known);
+        own + of_this_start.filter_map(|sent| sent.runs.get(&runner)).sum::<usize>()
     }
 
     fn apply(&mut self, step: &Step) {
@@ -121,38 +123,38 @@
                     runs.remove(run % runs.len());
                 }
             }
-            Step::Tell { gateway } => {
+            Step::Send { gateway } => {
                 self.numbers[gateway] += 1;
-                self.written.push(Written {
+                self.sent.push(SentReport {
                     from: gateway,
-                    life: self.lives[gateway],
+                    life: self.boot_times[gateway],
                     number: self.numbers[gateway],
                     runs: self.by_runner(gateway),
                     starts: self.known[gateway].clone(),
                 });
             }
-            Step::Hear { gateway, message } => {
-                if self.written.is_empty() {
+            Step::Receive { gateway, message } => {
+                if self.sent.is_empty() {
                     return;
                 }
-                let message = message % self.written.len();
-                let written = self.written[message].clone();
-                if written.from != gateway && !self.is_overtaken(gateway, &written) {
-                    let heard = Heard { message, at: self.now };
-                    self.heard.insert((gateway, written.from), heard);
+                let message = message % self.sent.len();
+                let sent = self.sent[message].clone();
+                if sent.from != gateway && !self.is_outdated(gateway, &sent) {
+                    let received = Received { message, at: self.now };
+                    self.received.insert((gateway, sent.from), received);
                 }
             }
-            Step::Pass { ms } => self.now = self.now.plus(Millis(ms)),
+            Step::Wait { ms } => self.now = self.now.plus(Millis(ms)),
             Step::Restart { gateway, clock_back_ms } => {
                 self.live[gateway].clear();
-                self.lives[gateway] = self.now.since(Millis(clock_back_ms)).0;
+                self.boot_times[gateway] = self.now.since(Millis(clock_back_ms)).0;
                 self.numbers[gateway] = 0;
-                self.heard.retain(|(to, _), _| *to != gateway);
+                self.received.retain(|(to, _), _| *to != gateway);
                 self.known[gateway].clear();
             }
-            Step::StartAgain { runner } => *self.born.entry(runner).or_insert(0) += 1,
+            Step::RunnerRestart { runner } => *self.born.entry(runner).or_insert(0) += 1,
             Step::Learn { gateway, runner, late } => {
-                let born = told_start(self.born.get(&runner).copied().unwrap_or(0), late);
+                let born = learned_start(self.born.get(&runner).copied().unwrap_or(0), late);
                 let known = self.known[gateway].get(&runner).copied();
                 if known.is_none_or(|known| born >= known) {
                     self.known[gateway].insert(runner, born);
@@ -165,25 +167,25 @@
     }
 }
 
-impl ReferenceStateMachine for Counts {
-    type State = Counts;
+impl ReferenceStateMachine for Model {
+    type State = Model;
     type Transition = Step;
 
-    fn init_state() -> BoxedStrategy<Counts> {
-        Just(Counts {
+    fn init_state() -> BoxedStrategy<Model> {
+        Just(Model {
             now: START,
             live: vec![Vec::new(); GATEWAYS],
-            lives: vec![START.0; GATEWAYS],
+            boot_times: vec![START.0; GATEWAYS],
             numbers: vec![0; GATEWAYS],
-            written: Vec::new(),
-            heard: BTreeMap::new(),
+            sent: Vec::new(),
+            received: BTreeMap::new(),
             born: BTreeMap::new(),
             known: vec![BTreeMap::new(); GATEWAYS],
         })
         .boxed()
     }
 
-    fn transitions(_: &Counts) -> BoxedStrategy<Step> {
+    fn transitions(_: &Model) -> BoxedStrategy<Step> {
         let gateway = || 0..GATEWAYS;
         prop_oneof![
             4 => (gateway(), 0..RUNNERS, 1_u64..9_000)
@@ -192,44 +194,44 @@
                 .prop_map(|(gateway, run, made)| Step::Progress { gateway, run, made }),
             2 => (gateway(), any::<usize>())
                 .prop_map(|(gateway, run)| Step::End { gateway, run }),
-            5 => gateway().prop_map(|gateway| Step::Tell { gateway }),
+            5 => gateway().prop_map(|gateway| Step::Send { gateway }),
             8 => (gateway(), any::<usize>())
-                .prop_map(|(gateway, message)| Step::Hear { gateway, message }),
-            2 => (1_u64..2_000).prop_map(|ms| Step::Pass { ms }),
+                .prop_map(|(gateway, message)| Step::Receive { gateway, message }),
+            2 => (1_u64..2_000).prop_map(|ms| Step::Wait { ms }),
             1 => (gateway(), prop_oneof![Just(0), 1_u64..6_000])
                 .prop_map(|(gateway, clock_back_ms)| Step::Restart { gateway, clock_back_ms }),
-            1 => (0..RUNNERS).prop_map(|runner| Step::StartAgain { runner }),
+            1 => (0..RUNNERS).prop_map(|runner| Step::RunnerRestart { runner }),
             3 => (gateway(), 0..RUNNERS, any::<bool>())
                 .prop_map(|(gateway, runner, late)| Step::Learn { gateway, runner, late }),
         ]
         .boxed()
     }
 
-    fn apply(mut counts: Counts, step: &Step) -> Counts {
-        counts.apply(step);
-        counts
+    fn apply(mut model: Model, step: &Step) -> Model {
+        model.apply(step);
+        model
     }
 }
 
-/// The start that a gateway is told: the present one, or the one before it.
-fn told_start(born: u64, late: bool) -> u64 {
+/// The process start that a gateway learns: the current one, or the one before it.
+fn learned_start(born: u64, late: bool) -> u64 {
     if late { born.saturating_sub(1) } else { born }
 }
 
-/// One gateway's part of what is under test.
+/// One gateway under test.
 struct Gateway {
     runs: Runs,
-    /// Runs and their runners, in the order in which they were held.
+    /// Runs and their runners, in the order of their holds.
     live: Vec<(RunNumber, u8)>,
     life: u64,
     number: u64,
 }
 
-/// All gateways, and the reports on their way.
+/// All gateways under test, and the reports they sent.
 struct Fleet {
     now: Millis,
     gateways: Vec<Gateway>,
-    written: Vec<(usize, GatewayReport)>,
+    sent: Vec<(usize, GatewayReport)>,
     born: BTreeMap<u8, u64>,
 }
 
@@ -238,7 +240,7 @@
 }
 
 fn runner(n: u8) -> RunnerId {
-    format!("i-{n}").as_str().try_into().expect("a good name")
+    format!("i-{n}").as_str().try_into().expect("valid name")
 }
 
 fn note(n: u8, prompt: u64) -> RunNote {
@@ -264,40 +266,43 @@
                 let gateway = &mut self.gateways[gateway];
                 if !gateway.live.is_empty() {
                     let (run, _) = gateway.live.remove(run % gateway.live.len());
-                    assert!(gateway.runs.end(run).is_some(), "a live run was not known");
+                    assert!(gateway.runs.end(run).is_some(), "a live run was unknown");
                     assert!(gateway.runs.end(run).is_none(), "a run ended twice");
                 }
             }
-            Step::Tell { gateway } => self.tell(gateway),
-            Step::Hear { gateway, message } => {
+            Step::Send { gateway } => self.send_report(gateway),
+            Step::Receive { gateway, message } => {
                 if let Some((from, report)) =
-                    self.written.get(message.checked_rem(self.written.len()).unwrap_or(0)).cloned()
+                    self.sent.get(message.checked_rem(self.sent.len()).unwrap_or(0)).cloned()
                     && from != gateway
                 {
                     self.gateways[gateway].runs.hear(&format!("g{from}"), report, self.now);
                 }
             }
-            Step::Pass { ms } => self.now = self.now.plus(Millis(ms)),
+            Step::Wait { ms } => self.now = self.now.plus(Millis(ms)),
             Step::Restart { gateway: n, clock_back_ms } => {
                 self.gateways[n] = gateway(self.now.since(Millis(clock_back_ms)).0);
             }
-            Step::StartAgain { runner } => *self.born.entry(runner).or_insert(0) += 1,
+            Step::RunnerRestart { runner } => *self.born.entry(runner).or_insert(0) += 1,
             Step::Learn { gateway, runner: n, late } => {
-                let born = told_start(self.born.get(&n).copied().unwrap_or(0), late);
+                let born = learned_start(self.born.get(&n).copied().unwrap_or(0), late);
                 let Gateway { runs, live, .. } = &mut self.gateways[gateway];
                 runs.note_start(&runner(n), Some(Born(born)));
-                // What was at an earlier start is not known any more, and its end changes nothing.
+                // Runs at an earlier process start are forgotten; ending them has no effect.
                 let own = runs.own().filter(|note| note.runner == runner(n)).count();
                 if own == 0 {
                     for (run, _) in live.extract_if(.., |(_, at)| *at == n) {
-                        assert!(runs.end(run).is_none(), "a run outlived its runner");
+                        assert!(
+                            runs.end(run).is_none(),
+                            "a run outlived the process start of its runner"
+                        );
                     }
                 }
             }
         }
     }
 
-    fn tell(&mut self, from: usize) {
+    fn send_report(&mut self, from: usize) {
         let gateway = &mut self.gateways[from];
         gateway.number += 1;
         let mut report = GatewayReport {
@@ -307,35 +312,35 @@
             ..GatewayReport::default()
         };
         report.add_starts(gateway.runs.starts());
-        self.written.push((from, report));
+        self.sent.push((from, report));
     }
 }
 
-struct MemoryIsCountedOnce;
+struct MemoryAccounting;
 
-impl StateMachineTest for MemoryIsCountedOnce {
+impl StateMachineTest for MemoryAccounting {
     type SystemUnderTest = Fleet;
-    type Reference = Counts;
+    type Reference = Model;
 
-    fn init_test(_: &Counts) -> Fleet {
+    fn init_test(_: &Model) -> Fleet {
         let gateways = (0..GATEWAYS).map(|_| gateway(START.0)).collect();
-        Fleet { now: START, gateways, written: Vec::new(), born: BTreeMap::new() }
+        Fleet { now: START, gateways, sent: Vec::new(), born: BTreeMap::new() }
     }
 
-    fn apply(mut fleet: Fleet, _: &Counts, step: Step) -> Fleet {
+    fn apply(mut fleet: Fleet, _: &Model, step: Step) -> Fleet {
         fleet.apply(step);
         fleet
     }
 
-    fn check_invariants(fleet: &Fleet, counts: &Counts) {
+    fn check_invariants(fleet: &Fleet, model: &Model) {
         for (n, gateway) in fleet.gateways.iter().enumerate() {
             for at in 0..RUNNERS {
                 let shapes = gateway.runs.at(&runner(at), 1.4, fleet.now);
-                assert_eq!(shapes.len(), counts.seen(n, at), "runs at {at} in the sight of {n}");
+                assert_eq!(shapes.len(), model.known_runs(n, at), "runs at {at} as known to {n}");
                 for shape in shapes {
                     assert!(
                         shape.generated < shape.max_output,
-                        "a run is taken beyond its most tokens"
+                        "a run is extrapolated beyond its maximum output"
                     );
                 }
             }
@@ -346,7 +351,7 @@
 fn config() -> Config {
     let cases = std::env::var("BULRUSH_FUZZ_CASES").ok().and_then(|n| n.parse().ok());
     Config {
-        cases: cases.unwrap_or(USUAL_CASES),
+        cases: cases.unwrap_or(DEFAULT_CASES),
         rng_seed: RngSeed::Fixed(5),
         failure_persistence: None,
         max_shrink_iters: 2_000,
@@ -359,6 +364,6 @@
 
     #[test]
     fn memory_of_live_runs_is_counted_once_and_of_no_others(
-        sequential 1..60 => MemoryIsCountedOnce
+        sequential 1..60 => MemoryAccounting
     );
 }
--- a/crates/bulrushusher_forward/tests/plain_calls.rs
+++ b/crates/bulrushusher_forward/tests/plain_calls.rs
@@ -1,4 +1,4 @@
-//! Which runner gets a plain call: where runners refuse, and where one has just started.
+//! Selection of the runner for a plain call, if runners refuse calls or have just started.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 
 const SLOTS: u32 = 6;
 
-/// A pool of plain runners, as one gateway sees it.
+/// A pool of runners of a plain service, as one gateway sees it.
 struct Pool {
     members: Members,
     loads: RunnerLoads,
@@ -23,11 +23,11 @@
 
 fn runner(n: usize) -> Runner {
     Runner {
-        id: format!("i-{n}").as_str().try_into().expect("a good name"),
+        id: format!("i-{n}").as_str().try_into().expect("valid name"),
         born: None,
-        service: "app".try_into().expect("a good name"),
+        service: "app".try_into().expect("valid name"),
         address: ([10, 0, 0, n as u8], 8_000).into(),
-        data_centre: "dc-1".try_into().expect("a good name"),
+        data_centre: "dc-1".try_into().expect("valid name"),
         slots: SLOTS,
         stage: None,
         leaving: false,
@@ -43,8 +43,8 @@
     }
 
     fn pick(&mut self) -> RunnerId {
-        let service = "app".try_into().expect("a good name");
-        let near = "dc-1".try_into().expect("a good name");
+        let service = "app".try_into().expect("valid name");
+        let data_centre = "dc-1".try_into().expect("valid name");
         let (members, loads, now) = (&self.members, &self.loads, self.now);
         let cx = SelectionContext {
             members,
@@ -55,37 +55,38 @@
             pressure: None,
             now,
         };
-        let pick = PlainSelection { tried: &[], data_centre: &near, draw: self.rng.random() };
-        pick_for_call(cx, pick).expect("there are runners").id
+        let pick =
+            PlainSelection { tried: &[], data_centre: &data_centre, draw: self.rng.random() };
+        pick_for_call(cx, pick).expect("the pool has runners").id
     }
 }
 
-/// A full runner answers that it does not run a call within a millisecond. Each such answer costs one of
-/// the repeats that all gateways share, some five in a burst.
+/// A full runner refuses a call within a millisecond. Each refusal costs one retry of the budget
+/// that all gateways share, which allows a burst of about five.
 #[test]
-fn a_runner_that_refuses_is_not_asked_with_each_call() {
+fn a_refusing_runner_is_not_tried_with_every_call() {
     let mut pool = Pool::new(2);
     let full = runner(0).id;
     let mut refusals = 0;
     const CALLS: u64 = 200;
-    const APART: Millis = Millis(3);
+    const INTERVAL: Millis = Millis(3);
     for _ in 0..CALLS {
-        pool.now = pool.now.plus(APART);
+        pool.now = pool.now.plus(INTERVAL);
         let id = pool.pick();
         let result = match id == full {
             true => CallResult::NotRun,
-            false => CallResult::Answered(APART),
+            false => CallResult::Answered(INTERVAL),
         };
         refusals += u64::from(id == full);
         pool.loads.record(&id, result, pool.now);
     }
-    let fades = LoadConfig::default().refusal_lifetime;
-    assert!(refusals <= CALLS * APART.0 / fades.0 + 1, "{refusals} refusals");
+    let lifetime = LoadConfig::default().refusal_lifetime;
+    assert!(refusals <= CALLS * INTERVAL.0 / lifetime.0 + 1, "{refusals} refusals");
 }
 
-/// When all refuse, one of them is asked all the same: a slot may be free by now.
+/// If all runners have refused, one of them is tried anyway: a slot may have become free.
 #[test]
-fn where_all_refuse_one_is_asked() {
+fn if_all_runners_refused_one_is_tried() {
     let mut pool = Pool::new(2);
     for n in 0..2 {
         pool.loads.record(&runner(n).id, CallResult::NotRun, pool.now);
@@ -93,9 +94,10 @@
     pool.pick();
 }
 
-/// A burst while a third runner has just joined two that take 60 ms: it gets its part, and not all.
+/// A burst arrives just after a third runner joined two that take 60 ms: the new runner gets a fair
+/// share of the burst, but not all of it.
 #[test]
-fn a_runner_that_has_just_started_gets_its_part_of_a_burst() {
+fn a_new_runner_gets_its_share_of_a_burst() {
     let mut pool = Pool::new(3);
     for n in 0..2 {
         pool.loads.record(&runner(n).id, CallResult::Answered(Millis(60)), pool.now);
@@ -107,17 +109,17 @@
         pool.loads.begin(&id, 0);
         *calls.entry(id).or_default() += 1;
     }
-    let part = calls.get(&runner(2).id).copied().unwrap_or(0);
-    assert!((BURST / 6..=BURST / 2).contains(&part), "{part} of {BURST}");
+    let share = calls.get(&runner(2).id).copied().unwrap_or(0);
+    assert!((BURST / 6..=BURST / 2).contains(&share), "{share} of {BURST}");
 }
 
-/// Little is asked for, and one of two runners is quicker than the other: a third one that joins is tried
-/// all the same.
+/// Under low load, with one of two runners faster than the other, a third runner that joins is
+/// still tried.
 #[test]
-fn a_runner_that_has_just_started_is_tried_while_little_is_asked_for() {
+fn a_new_runner_is_tried_under_low_load() {
     let mut pool = Pool::new(3);
     pool.loads.record(&runner(0).id, CallResult::Answered(Millis(4)), pool.now);
     pool.loads.record(&runner(1).id, CallResult::Answered(Millis(60)), pool.now);
     let calls = (0..40).map(|_| pool.pick()).filter(|id| *id == runner(2).id).count();
-    assert!(calls > 0, "it was never tried");
+    assert!(calls > 0, "the new runner was never tried");
 }
