--- a/crates/bulrushusher_forward/src/load.rs
+++ b/crates/bulrushusher_forward/src/load.rs
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Counts a call to the runner, with the prompt tokens that it must prefill.
+    /// Counts a call to the runner, with the number of prompt tokens to prefill there.
     pub fn begin(&mut self, id: &RunnerId, prompt_tokens: u64) -> LoadEpoch {
         let entry = self.entry(id);
         entry.in_flight += 1;
--- a/crates/bulrushusher_forward/src/reading.rs
+++ b/crates/bulrushusher_forward/src/reading.rs
@@ -41,7 +41,7 @@
 pub struct DecodeLoad {
     /// Prompt tokens that it is prefilling itself.
     pub prefilling_tokens: u64,
-    /// Other runs there.
+    /// Other runs at the decode runner.
     pub runs: usize,
     /// Share of its memory that its runs are forecast to need. If all of it is needed, delaying
     /// these runs costs other callers their place.
--- a/crates/bulrushusher_forward/src/repeat.rs
+++ b/crates/bulrushusher_forward/src/repeat.rs
@@ -21,9 +21,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Send the request to another runner.
-    TryAgain,
+    Retry,
     /// Forward the runner's own error.
-    PassOn,
+    ForwardError,
     /// End the request.
     Finish(FinalAnswer),
 }
@@ -44,7 +44,7 @@
 /// use bulrushusher_routing::{RetryBudget, RetryConfig};
 /// let mut budget = RetryBudget::new(RetryConfig::default());
 /// let mut plan = AttemptPlan::new(RouteKind::NonIdempotent, 2);
-/// assert_eq!(plan.next_step(AttemptEnd::NotRun, &mut budget), NextStep::TryAgain);
+/// assert_eq!(plan.next_step(AttemptEnd::NotRun, &mut budget), NextStep::Retry);
 /// let end = plan.next_step(AttemptEnd::Unknown, &mut budget);
 /// assert_eq!(end, NextStep::Finish(FinalAnswer::OutcomeUnknown));
 /// ```
@@ -84,8 +84,8 @@
             }
         };
         match (again, end) {
-            (true, _) => NextStep::TryAgain,
-            (false, AttemptEnd::RunFailed) => NextStep::PassOn,
+            (true, _) => NextStep::Retry,
+            (false, AttemptEnd::RunFailed) => NextStep::ForwardError,
             (false, _) => NextStep::Finish(self.final_answer()),
         }
     }
--- a/crates/bulrushusher_forward/tests/fuzz.rs
+++ b/crates/bulrushusher_forward/tests/fuzz.rs
@@ -30,7 +30,7 @@
 
 /// What really happens to a request at a runner, whether or not the gateway learns of it.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum Behaviour {
     /// Nothing reaches the runner.
     NeverSent,
     /// The runner refuses the request and answers so.
@@ -45,16 +45,16 @@
     LosesRequest,
 }
 
-fn fates() -> impl Strategy<Value = Vec<Fate>> {
-    let fate = prop_oneof![
-        Just(Fate::NeverSent),
-        Just(Fate::Refuses),
-        Just(Fate::Answers),
-        Just(Fate::RunsAndFails),
-        Just(Fate::RunsUnanswered),
-        Just(Fate::LosesRequest),
+fn behaviours() -> impl Strategy<Value = Vec<Behaviour>> {
+    let behaviour = prop_oneof![
+        Just(Behaviour::NeverSent),
+        Just(Behaviour::Refuses),
+        Just(Behaviour::Answers),
+        Just(Behaviour::RunsAndFails),
+        Just(Behaviour::RunsUnanswered),
+        Just(Behaviour::LosesRequest),
     ];
-    prop::collection::vec(fate, 1..12)
+    prop::collection::vec(behaviour, 1..12)
 }
 
 fn kinds() -> impl Strategy<Value = RouteKind> {
@@ -80,33 +80,38 @@
     ended: bool,
 }
 
-fn simulate(kind: RouteKind, most: u32, fates: &[Fate], budget: &mut RetryBudget) -> Outcome {
-    let mut plan = AttemptPlan::new(kind, most);
+fn simulate(
+    kind: RouteKind,
+    max_runners: u32,
+    behaviours: &[Behaviour],
+    budget: &mut RetryBudget,
+) -> Outcome {
+    let mut plan = AttemptPlan::new(kind, max_runners);
     let mut outcome = Outcome::default();
-    for (sent, fate) in fates.iter().enumerate() {
-        let arrives = !matches!(fate, Fate::NeverSent);
+    for (sent, behaviour) in behaviours.iter().enumerate() {
+        let arrives = !matches!(behaviour, Behaviour::NeverSent);
         outcome.retries += u32::from(sent > 0 && arrives);
-        let end = match fate {
-            Fate::Answers => {
+        let end = match behaviour {
+            Behaviour::Answers => {
                 outcome.runs += 1;
                 outcome.ended = true;
                 return outcome;
             }
-            Fate::NeverSent => AttemptEnd::Unsent,
-            Fate::Refuses => AttemptEnd::NotRun,
-            Fate::RunsAndFails => {
+            Behaviour::NeverSent => AttemptEnd::Unsent,
+            Behaviour::Refuses => AttemptEnd::NotRun,
+            Behaviour::RunsAndFails => {
                 outcome.runs += 1;
                 AttemptEnd::RunFailed
             }
-            Fate::RunsUnanswered => {
+            Behaviour::RunsUnanswered => {
                 outcome.runs += 1;
                 AttemptEnd::Unknown
             }
-            Fate::LosesRequest => AttemptEnd::Unknown,
+            Behaviour::LosesRequest => AttemptEnd::Unknown,
         };
         match plan.next_step(end, budget) {
-            NextStep::TryAgain => {}
-            NextStep::PassOn => {
+            NextStep::Retry => {}
+            NextStep::ForwardError => {
                 outcome.ended = true;
                 return outcome;
             }
@@ -125,37 +130,37 @@
 
     #[test]
     fn requests_run_at_most_once_not_run_is_true_and_retries_respect_the_budget(
-        requests in prop::collection::vec((kinds(), 1_u32..4, fates()), 1..40),
+        requests in prop::collection::vec((kinds(), 1_u32..4, behaviours()), 1..40),
     ) {
         let cfg = RetryConfig { per_request: 0.2, max_saved: 3.0 };
         let mut budget = RetryBudget::new(cfg);
         let mut retries = 0;
-        for (n, (kind, most, fates)) in requests.iter().enumerate() {
+        for (n, (kind, max_runners, behaviours)) in requests.iter().enumerate() {
             budget.earn();
-            let outcome = simulate(*kind, *most, fates, &mut budget);
-            let may_run = if is_repeatable(*kind) { *most } else { 1 };
+            let outcome = simulate(*kind, *max_runners, behaviours, &mut budget);
+            let may_run = if is_repeatable(*kind) { *max_runners } else { 1 };
             prop_assert!(outcome.runs <= may_run, "{kind} ran {} times", outcome.runs);
             let is_true = !outcome.reported_not_run || outcome.runs == 0;
             prop_assert!(is_true, "reported as not run, but it ran");
             retries += outcome.retries;
             let allowed = cfg.max_saved + cfg.per_request * (n + 1) as f64;
             // A send that does not reach a runner is free; the next one is the first to arrive.
-            let unsent = fates.iter().filter(|fate| matches!(fate, Fate::NeverSent)).count();
+            let unsent = behaviours.iter().filter(|it| matches!(it, Behaviour::NeverSent)).count();
             if unsent == 0 {
                 prop_assert!(f64::from(outcome.retries) <= allowed + 1e-6);
             }
         }
-        let never_sent = |fates: &[Fate]| matches!(fates[0], Fate::NeverSent);
+        let never_sent = |behaviours: &[Behaviour]| matches!(behaviours[0], Behaviour::NeverSent);
         let first_send_unsent = requests.iter().filter(|r| never_sent(&r.2)).count();
         let allowed = cfg.max_saved + cfg.per_request * requests.len() as f64;
         prop_assert!(f64::from(retries) <= allowed + first_send_unsent as f64 + 1e-6);
     }
 
     #[test]
-    fn every_request_ends(kind in kinds(), most in 1_u32..4, fate in fates()) {
+    fn every_request_ends(kind in kinds(), max_runners in 1_u32..4, behaviour in behaviours()) {
         let mut budget = RetryBudget::new(RetryConfig { per_request: 1.0, max_saved: 100.0 });
-        let endless: Vec<Fate> = fate.iter().cycle().take(20).copied().collect();
-        prop_assert!(simulate(kind, most, &endless, &mut budget).ended);
+        let endless: Vec<Behaviour> = behaviour.iter().cycle().take(20).copied().collect();
+        prop_assert!(simulate(kind, max_runners, &endless, &mut budget).ended);
     }
 }
 
--- a/crates/bulrushusher_gateway/src/runs/call.rs
+++ b/crates/bulrushusher_gateway/src/runs/call.rs
@@ -76,8 +76,8 @@
             Ended::Withheld(cause) => (AttemptEnd::Unsent, None, cause),
         };
         match cx.knowledge.next_step(&fwd.service, &mut plan, end) {
-            NextStep::TryAgain => {}
-            NextStep::PassOn => {
+            NextStep::Retry => {}
+            NextStep::ForwardError => {
                 if let Some((head, body)) = failed {
                     return Ok(pass_on(head, body));
                 }
--- a/crates/bulrushusher_gateway/src/runs/generation.rs
+++ b/crates/bulrushusher_gateway/src/runs/generation.rs
@@ -42,8 +42,8 @@
             Err(NoRun::Ended(end, reason)) => (end, reason, None),
         };
         match cx.knowledge.next_step(&fwd.service, &mut plan, end) {
-            NextStep::TryAgain => {}
-            NextStep::PassOn => {
+            NextStep::Retry => {}
+            NextStep::ForwardError => {
                 let Some((head, body)) = failed else {
                     return Err(Refusal::OutcomeUnknown(reason));
                 };
--- a/crates/bulrushusher_gateway/src/runs/pump.rs
+++ b/crates/bulrushusher_gateway/src/runs/pump.rs
@@ -121,8 +121,8 @@
     let mut end = AttemptEnd::Unknown;
     loop {
         match cx.knowledge.next_step(&fwd.service, plan, end) {
-            NextStep::TryAgain => {}
-            NextStep::PassOn | NextStep::Finish(_) => return None,
+            NextStep::Retry => {}
+            NextStep::ForwardError | NextStep::Finish(_) => return None,
         }
         progress.splitter = EventSplitter::default();
         let until = resume_until(fwd, cx.now());
