--- a/crates/bulrushusher_operator/src/convert.rs
+++ b/crates/bulrushusher_operator/src/convert.rs
@@ -2,7 +2,7 @@
 
 use bulrushusher_world::{
     ClientAccount, Closing, Endpoint, RawClientAccount, RawClosing, RawDeliverableClass,
-    RawEndpoint, WorldError,
+    RawEndpoint, ValidationError,
 };
 
 use crate::v1;
@@ -16,8 +16,8 @@
 /// ```
 ///
 /// # Errors
-/// [`WorldError`] names the field and the remedy.
-pub fn closing_from(message: v1::Closing) -> Result<Closing, WorldError> {
+/// [`ValidationError`] names the field and the remedy.
+pub fn closing_from(message: v1::Closing) -> Result<Closing, ValidationError> {
     let class = |c: v1::DeliverableClass| RawDeliverableClass {
         name: c.name,
         patience: c.patience,
@@ -63,8 +63,8 @@
 /// Checks an endpoint.
 ///
 /// # Errors
-/// [`WorldError`] names the field and the remedy.
-pub fn endpoint_from(message: v1::Endpoint) -> Result<Endpoint, WorldError> {
+/// [`ValidationError`] names the field and the remedy.
+pub fn endpoint_from(message: v1::Endpoint) -> Result<Endpoint, ValidationError> {
     Endpoint::try_from(RawEndpoint {
         name: message.name,
         service: message.service,
@@ -97,8 +97,8 @@
 /// Checks a client account.
 ///
 /// # Errors
-/// [`WorldError`] names the field and the remedy.
-pub fn account_from(message: v1::Account) -> Result<ClientAccount, WorldError> {
+/// [`ValidationError`] names the field and the remedy.
+pub fn account_from(message: v1::Account) -> Result<ClientAccount, ValidationError> {
     ClientAccount::try_from(RawClientAccount {
         name: message.name,
         requests_per_second: message.requests_per_second,
--- a/crates/bulrushusher_world/src/account.rs
+++ b/crates/bulrushusher_world/src/account.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{ClientAccountName, WorldError};
+use crate::{ClientAccountName, ValidationError};
 
-/// A client account, as configured.
+/// A validated client account.
 ///
 /// ```
 /// use bulrushusher_world::{ClientAccount, RawClientAccount};
@@ -14,15 +14,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "RawClientAccount", into = "RawClientAccount")]
 pub struct ClientAccount {
-    /// Its name.
+    /// Its name, unique in the deployment.
     pub name: ClientAccountName,
-    /// Sustained requests a second over all entries; above 0.
+    /// Sustained rate limit over all entries, in requests per second; above 0.
     pub requests_per_second: f64,
-    /// Requests that may come at once; at least 1.
+    /// Burst size of the rate limit, in requests; at least 1.
     pub burst: u64,
 }
 
-/// A client account as operators write it.
+/// A client account as written by operators, not yet validated.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[expect(missing_docs, reason = "the fields are those of ClientAccount")]
 pub struct RawClientAccount {
@@ -32,17 +32,17 @@
 }
 
 impl TryFrom<RawClientAccount> for ClientAccount {
-    type Error = WorldError;
-    fn try_from(raw: RawClientAccount) -> Result<ClientAccount, WorldError> {
+    type Error = ValidationError;
+    fn try_from(raw: RawClientAccount) -> Result<ClientAccount, ValidationError> {
         if !raw.requests_per_second.is_finite() || raw.requests_per_second <= 0.0 {
-            return Err(WorldError::field(
+            return Err(ValidationError::field(
                 "requests_per_second",
                 raw.requests_per_second,
                 "give a number above 0",
             ));
         }
         if raw.burst == 0 {
-            return Err(WorldError::field("burst", raw.burst, "give at least 1"));
+            return Err(ValidationError::field("burst", raw.burst, "give at least 1"));
         }
         Ok(ClientAccount {
             name: raw.name.try_into()?,
--- a/crates/bulrushusher_world/src/closing.rs
+++ b/crates/bulrushusher_world/src/closing.rs
@@ -1,59 +1,60 @@
-//! Closings: named windows with the services, deliverable classes and targets in force.
+//! Closings: named time windows with the services, deliverable classes and latency targets that
+//! apply during them.
 
 use bulrushusher_time::Millis;
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use crate::{ClassName, ClosingName, ServiceName, WorldError};
+use crate::{ClassName, ClosingName, ServiceName, ValidationError};
 
-/// The most services or classes in one closing.
+/// The maximum number of services, and of classes, in one closing.
 const MAX_ITEMS: usize = 64;
 
-/// Whether somebody waits in front of a screen.
+/// Whether a request is latency-sensitive.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Patience {
-    /// Somebody waits; served first within its targets.
+    /// A user waits for the answer; scheduled first, within its latency targets.
     #[display("interactive")]
     Interactive,
-    /// May queue; never dropped or starved.
+    /// Batch work: may queue, but is never dropped or starved.
     #[display("patient")]
     Patient,
 }
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeat {
-    /// May run again after a failure.
+    /// May be executed again after a failure.
     #[display("idempotent")]
     Idempotent,
-    /// Runs at most once.
+    /// Must be executed at most once.
     #[display("non_idempotent")]
     NonIdempotent,
 }
 
-/// A deliverable class with its targets.
+/// A validated deliverable class: how its requests are scheduled and retried, and their targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "RawDeliverableClass", into = "RawDeliverableClass")]
 pub struct DeliverableClass {
     /// Its name, unique in the closing.
     pub name: ClassName,
-    /// Whether somebody waits for it.
+    /// Whether its requests are latency-sensitive.
     pub patience: Patience,
-    /// Whether it may run again.
+    /// Whether its requests may be executed again.
     pub repeat: Repeat,
-    /// Target for the time to the first token.
+    /// Target time to first token.
     pub ttft: Millis,
-    /// Target for the time between tokens.
+    /// Target time between tokens.
     pub per_token: Millis,
-    /// The longest time from arrival to the whole answer.
+    /// The maximum time from arrival to the end of the response.
     pub deadline: Millis,
 }
 
-/// A deliverable class as operators write it; times in milliseconds.
+/// A deliverable class as written by operators, not yet validated; times in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[expect(missing_docs, reason = "the fields are those of DeliverableClass")]
 pub struct RawDeliverableClass {
@@ -65,12 +66,12 @@
     pub deadline_ms: u64,
 }
 
-/// How a closing weighs its two measures; both finite and at least 0, not both 0.
+/// Weights of the two optimization goals of a closing; both finite and at least 0, not both 0.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Weights {
     /// Weight of goodput.
     pub goodput: f64,
-    /// Weight of not wasting prefill.
+    /// Weight of avoiding wasted prefill work.
     pub waste: f64,
 }
 
@@ -80,37 +81,37 @@
     }
 }
 
-/// A closing.
+/// A validated closing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "RawClosing", into = "RawClosing")]
 pub struct Closing {
     /// Its name, unique in the deployment.
     pub name: ClosingName,
-    /// First moment of the window, Unix time.
+    /// Start of the window (inclusive), Unix time.
     pub starts: Millis,
-    /// First moment after the window, Unix time.
+    /// End of the window (exclusive), Unix time.
     pub ends: Millis,
-    /// The services it speaks of.
+    /// The services it applies to.
     pub services: Vec<ServiceName>,
     /// Its deliverable classes.
     pub classes: Vec<DeliverableClass>,
-    /// How it weighs its measures.
+    /// Weights of its optimization goals.
     pub weights: Weights,
 }
 
 impl Closing {
-    /// True when `now` lies in the window.
+    /// True when `now`, a Unix time, lies in the window.
     pub fn is_open(&self, now: Millis) -> bool {
         self.starts <= now && now < self.ends
     }
 
-    /// The class of that name.
+    /// The class with that name.
     pub fn class(&self, name: &ClassName) -> Option<&DeliverableClass> {
         self.classes.iter().find(|class| &class.name == name)
     }
 }
 
-/// A closing as operators write it; times in Unix milliseconds.
+/// A closing as written by operators, not yet validated; times in Unix milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[expect(missing_docs, reason = "the fields are those of Closing")]
 pub struct RawClosing {
@@ -124,46 +125,50 @@
 }
 
 impl TryFrom<&str> for Patience {
-    type Error = WorldError;
-    fn try_from(text: &str) -> Result<Patience, WorldError> {
+    type Error = ValidationError;
+    fn try_from(text: &str) -> Result<Patience, ValidationError> {
         match text {
             "interactive" => Ok(Patience::Interactive),
             "patient" => Ok(Patience::Patient),
-            other => Err(WorldError::field("patience", other, "give `interactive` or `patient`")),
+            other => {
+                Err(ValidationError::field("patience", other, "give `interactive` or `patient`"))
+            }
         }
     }
 }
 
 impl TryFrom<&str> for Repeat {
-    type Error = WorldError;
-    fn try_from(text: &str) -> Result<Repeat, WorldError> {
+    type Error = ValidationError;
+    fn try_from(text: &str) -> Result<Repeat, ValidationError> {
         match text {
             "idempotent" => Ok(Repeat::Idempotent),
             "non_idempotent" => Ok(Repeat::NonIdempotent),
-            other => {
-                Err(WorldError::field("repeat", other, "give `idempotent` or `non_idempotent`"))
-            }
+            other => Err(ValidationError::field(
+                "repeat",
+                other,
+                "give `idempotent` or `non_idempotent`",
+            )),
         }
     }
 }
 
-fn positive(field: &'static str, ms: u64) -> Result<Millis, WorldError> {
+fn check_positive(field: &'static str, ms: u64) -> Result<Millis, ValidationError> {
     match ms {
-        0 => Err(WorldError::field(field, ms, "give at least 1 ms")),
+        0 => Err(ValidationError::field(field, ms, "give at least 1 ms")),
         ms => Ok(Millis(ms)),
     }
 }
 
 impl TryFrom<RawDeliverableClass> for DeliverableClass {
-    type Error = WorldError;
-    fn try_from(raw: RawDeliverableClass) -> Result<DeliverableClass, WorldError> {
+    type Error = ValidationError;
+    fn try_from(raw: RawDeliverableClass) -> Result<DeliverableClass, ValidationError> {
         Ok(DeliverableClass {
             name: raw.name.try_into()?,
             patience: raw.patience.as_str().try_into()?,
             repeat: raw.repeat.as_str().try_into()?,
-            ttft: positive("ttft_ms", raw.ttft_ms)?,
-            per_token: positive("per_token_ms", raw.per_token_ms)?,
-            deadline: positive("deadline_ms", raw.deadline_ms)?,
+            ttft: check_positive("ttft_ms", raw.ttft_ms)?,
+            per_token: check_positive("per_token_ms", raw.per_token_ms)?,
+            deadline: check_positive("deadline_ms", raw.deadline_ms)?,
         })
     }
 }
@@ -181,17 +186,20 @@
     }
 }
 
-fn check_count(field: &'static str, count: usize) -> Result<(), WorldError> {
+fn check_count(field: &'static str, count: usize) -> Result<(), ValidationError> {
     if count == 0 || count > MAX_ITEMS {
-        return Err(WorldError::field(field, count, "give 1 to 64"));
+        return Err(ValidationError::field(field, count, "give 1 to 64"));
     }
     Ok(())
 }
 
-fn check_weights(weights: Weights) -> Result<Weights, WorldError> {
-    let ok = |w: f64| w.is_finite() && w >= 0.0;
-    if !ok(weights.goodput) || !ok(weights.waste) || weights.goodput + weights.waste == 0.0 {
-        return Err(WorldError::field(
+fn check_weights(weights: Weights) -> Result<Weights, ValidationError> {
+    let is_valid = |w: f64| w.is_finite() && w >= 0.0;
+    if !is_valid(weights.goodput)
+        || !is_valid(weights.waste)
+        || weights.goodput + weights.waste == 0.0
+    {
+        return Err(ValidationError::field(
             "weights",
             format!("{} and {}", weights.goodput, weights.waste),
             "give two numbers of at least 0, not both 0",
@@ -201,10 +209,14 @@
 }
 
 impl TryFrom<RawClosing> for Closing {
-    type Error = WorldError;
-    fn try_from(raw: RawClosing) -> Result<Closing, WorldError> {
+    type Error = ValidationError;
+    fn try_from(raw: RawClosing) -> Result<Closing, ValidationError> {
         if raw.ends_unix_ms <= raw.starts_unix_ms {
-            return Err(WorldError::field("ends_unix_ms", raw.ends_unix_ms, "give a later time"));
+            return Err(ValidationError::field(
+                "ends_unix_ms",
+                raw.ends_unix_ms,
+                "give a later time",
+            ));
         }
         check_count("services", raw.services.len())?;
         check_count("classes", raw.classes.len())?;
@@ -213,8 +225,8 @@
         let mut classes: Vec<DeliverableClass> = Vec::new();
         for class in raw.classes {
             let class = DeliverableClass::try_from(class)?;
-            if classes.iter().any(|held| held.name == class.name) {
-                return Err(WorldError::field("classes", class.name, "name each class once"));
+            if classes.iter().any(|other| other.name == class.name) {
+                return Err(ValidationError::field("classes", class.name, "name each class once"));
             }
             classes.push(class);
         }
--- a/crates/bulrushusher_world/src/endpoint.rs
+++ b/crates/bulrushusher_world/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints: a runner (engine or plain service) with the agent beside it.
+//! Endpoints: a runner (engine or plain service) together with its agent.
 
 use std::net::SocketAddr;
 
@@ -6,46 +6,48 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use crate::{DataCentreName, EndpointName, ServiceName, WorldError};
+use crate::{DataCentreName, EndpointName, ServiceName, ValidationError};
 
-/// What an endpoint does.
+/// The kind of work an endpoint does.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
     /// Computes the KV cache of prompts.
     #[display("prefill")]
     Prefill,
-    /// Generates tokens from an imported KV cache.
+    /// Generates tokens from a KV cache imported from a prefill endpoint.
     #[display("decode")]
     Decode,
-    /// A plain service.
+    /// Serves calls of a plain HTTP service.
     #[display("service")]
     Service,
 }
 
 impl TryFrom<&str> for Role {
-    type Error = WorldError;
-    fn try_from(text: &str) -> Result<Role, WorldError> {
+    type Error = ValidationError;
+    fn try_from(text: &str) -> Result<Role, ValidationError> {
         match text {
             "prefill" => Ok(Role::Prefill),
             "decode" => Ok(Role::Decode),
             "service" => Ok(Role::Service),
-            other => Err(WorldError::field("role", other, "give `prefill`, `decode` or `service`")),
+            other => {
+                Err(ValidationError::field("role", other, "give `prefill`, `decode` or `service`"))
+            }
         }
     }
 }
 
-/// Whether the engine itself refuses orders with an old fencing number.
+/// Whether the engine itself rejects orders with a stale fencing token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fencing {
-    /// The engine checks.
+    /// The engine compares fencing tokens.
     Checked,
-    /// The engine ignores the number; the agent is the fence.
+    /// The engine ignores fencing tokens; only the agent rejects stale orders.
     Ignored,
 }
 
-/// One endpoint, as configured.
+/// A validated endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "RawEndpoint", into = "RawEndpoint")]
 pub struct Endpoint {
@@ -53,24 +55,24 @@
     pub name: EndpointName,
     /// The service it belongs to.
     pub service: ServiceName,
-    /// What it does there.
+    /// Its role in that service.
     pub role: Role,
-    /// Where it stands.
+    /// The data centre it runs in.
     pub data_centre: DataCentreName,
-    /// Where its agent takes control calls.
+    /// Address at which its agent serves control calls.
     pub control: SocketAddr,
-    /// Where its agent takes streams.
+    /// Address at which its agent serves streams.
     pub stream: SocketAddr,
-    /// Whether its engine checks fencing numbers.
+    /// Whether its engine checks fencing tokens.
     pub fencing: Fencing,
-    /// True when it must get no new work.
+    /// True while it drains: it must get no new work.
     pub leaving: bool,
-    /// When it was taken out of the list, Unix time; `None` while it is in. It is remembered
-    /// because it may have run keys that are sent again.
+    /// When it was removed from the endpoint list, Unix time; `None` while it is listed. A removed
+    /// endpoint is kept because it may have run idempotency keys that callers retry.
     pub removed: Option<Millis>,
 }
 
-/// An endpoint as operators write it; see [`Endpoint`] for the fields.
+/// An endpoint as written by operators, not yet validated; see [`Endpoint`] for the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[expect(missing_docs, reason = "the fields are those of Endpoint")]
 pub struct RawEndpoint {
@@ -86,20 +88,21 @@
     pub removed_unix_ms: Option<u64>,
 }
 
-fn address(field: &'static str, text: &str) -> Result<SocketAddr, WorldError> {
-    text.parse().map_err(|_| WorldError::field(field, text, "give IP:port, such as 127.0.0.1:7101"))
+fn parse_address(field: &'static str, text: &str) -> Result<SocketAddr, ValidationError> {
+    text.parse()
+        .map_err(|_| ValidationError::field(field, text, "give IP:port, such as 127.0.0.1:7101"))
 }
 
 impl TryFrom<RawEndpoint> for Endpoint {
-    type Error = WorldError;
-    fn try_from(raw: RawEndpoint) -> Result<Endpoint, WorldError> {
+    type Error = ValidationError;
+    fn try_from(raw: RawEndpoint) -> Result<Endpoint, ValidationError> {
         Ok(Endpoint {
             name: raw.name.try_into()?,
             service: raw.service.try_into()?,
             role: raw.role.as_str().try_into()?,
             data_centre: raw.data_centre.try_into()?,
-            control: address("control", &raw.control)?,
-            stream: address("stream", &raw.stream)?,
+            control: parse_address("control", &raw.control)?,
+            stream: parse_address("stream", &raw.stream)?,
             fencing: if raw.checks_fencing { Fencing::Checked } else { Fencing::Ignored },
             leaving: raw.leaving,
             removed: raw.removed_unix_ms.map(Millis),
--- a/crates/bulrushusher_world/src/lib.rs
+++ b/crates/bulrushusher_world/src/lib.rs
@@ -1,7 +1,7 @@
-//! The things the router knows: VMs, data centres, links, endpoints, client accounts, closings.
+//! Domain types of the router: names, data centres, links, endpoints, client accounts, closings.
 //!
-//! Every type here is checked when it is made (`TryFrom` from raw input), so the rest of the router
-//! need not check again. Nothing here does I/O.
+//! Every type is validated on construction (`TryFrom` from raw input), so the rest of the router
+//! need not validate again. Nothing here does I/O.
 
 mod account;
 mod closing;
@@ -22,9 +22,9 @@
 
 use derive_more::{Display, Error, From};
 
-/// Why raw input is not a thing of the world.
+/// Why raw input failed validation.
 #[derive(Clone, Debug, Display, Error, From, PartialEq)]
-pub enum WorldError {
+pub enum ValidationError {
     /// A name is malformed.
     #[display("{_0}")]
     Name(NameError),
@@ -32,27 +32,31 @@
     #[display("{field} is {value}; {remedy}")]
     #[from(ignore)]
     Field {
-        /// Which field.
+        /// The field, as named in the raw input.
         field: &'static str,
-        /// What was given.
+        /// The rejected value.
         value: String,
-        /// What to give instead.
+        /// Which values are allowed.
         remedy: &'static str,
     },
 }
 
-impl WorldError {
-    /// An error about one field.
-    pub fn field(field: &'static str, value: impl ToString, remedy: &'static str) -> WorldError {
-        WorldError::Field { field, value: value.to_string(), remedy }
+impl ValidationError {
+    /// An error for one field.
+    pub fn field(
+        field: &'static str,
+        value: impl ToString,
+        remedy: &'static str,
+    ) -> ValidationError {
+        ValidationError::Field { field, value: value.to_string(), remedy }
     }
 }
 
-/// The common types in one `use`.
+/// Re-exports of the commonly used types.
 pub mod prelude {
     pub use crate::{
         ClassName, ClientAccount, ClientAccountName, Closing, ClosingName, DataCentreName,
         DeliverableClass, Endpoint, EndpointName, EntryName, Fencing, Patience, Repeat, RequestKey,
-        Role, ServiceName, Weights, WorldError,
+        Role, ServiceName, ValidationError, Weights,
     };
 }
--- a/crates/bulrushusher_world/src/link.rs
+++ b/crates/bulrushusher_world/src/link.rs
@@ -1,9 +1,9 @@
-//! Links between data centres, over which KV cache moves.
+//! Network links between data centres, used for KV cache transfers.
 
 use bulrushusher_time::Millis;
 use serde::{Deserialize, Serialize};
 
-/// A rate-limited link.
+/// A link with limited bandwidth.
 ///
 /// ```
 /// use bulrushusher_world::Link;
@@ -13,14 +13,14 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Link {
-    /// Rate in bytes a second; at least 1.
+    /// Bandwidth in bytes per second; at least 1.
     pub bytes_per_second: u64,
     /// One-way latency.
     pub latency: Millis,
 }
 
 impl Link {
-    /// Time for `bytes` to cross an idle link.
+    /// Time to transfer `bytes` over the idle link, latency included.
     pub fn transfer_time(&self, bytes: u64) -> Millis {
         let ms = bytes.saturating_mul(1000).div_ceil(self.bytes_per_second.max(1));
         self.latency.plus(Millis(ms))
--- a/crates/bulrushusher_world/src/name.rs
+++ b/crates/bulrushusher_world/src/name.rs
@@ -1,34 +1,34 @@
-//! Checked, shared, immutable names.
+//! Validated, immutable names that are cheap to clone.
 
 use std::sync::Arc;
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// The longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_LEN: usize = 64;
-/// The longest request key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 pub const MAX_KEY_LEN: usize = 128;
 
-/// Why a text is not a name.
+/// Why a string is not a valid name.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum NameError {
-    /// The text is empty or too long.
+    /// The string is empty or too long.
     #[display("{kind} name has {len} bytes; give 1 to {max}")]
     Length {
-        /// Which kind of name.
+        /// The kind of name, such as `endpoint`.
         kind: &'static str,
-        /// Bytes given.
+        /// Its length in bytes.
         len: usize,
-        /// Bytes allowed.
+        /// The maximum length in bytes.
         max: usize,
     },
-    /// The text has a character that names may not have.
+    /// The string contains a character that is not allowed.
     #[display("{kind} name has the character {found:?}; use {allowed}")]
     Character {
-        /// Which kind of name.
+        /// The kind of name, such as `endpoint`.
         kind: &'static str,
-        /// The character.
+        /// The first such character.
         found: char,
         /// Which characters are allowed.
         allowed: &'static str,
@@ -39,8 +39,8 @@
     if text.is_empty() || text.len() > MAX_NAME_LEN {
         return Err(NameError::Length { kind, len: text.len(), max: MAX_NAME_LEN });
     }
-    let ok = |c: &char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | '/');
-    match text.chars().find(|c| !ok(c)) {
+    let is_allowed = |c: &char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | '/');
+    match text.chars().find(|c| !is_allowed(c)) {
         Some(found) => Err(NameError::Character {
             kind,
             found,
@@ -72,7 +72,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// The name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -114,7 +114,7 @@
     /// ```
     DataCentreName, "data centre", check_name);
 name_type!(
-    /// Name of an endpoint: one runner with the agent beside it.
+    /// Name of an endpoint: one runner together with its agent.
     EndpointName, "endpoint", check_name);
 name_type!(
     /// Name of an entry process.
@@ -123,7 +123,7 @@
     /// Name of a service, such as `rationale-llm` or `board-app`.
     ServiceName, "service", check_name);
 name_type!(
-    /// Name of a model as callers ask for it.
+    /// Name of a model, as given in requests.
     ModelName, "model", check_name);
 name_type!(
     /// Name of a client account.
@@ -135,10 +135,10 @@
     /// Name of a deliverable class.
     ClassName, "deliverable class", check_name);
 name_type!(
-    /// Identity of one start of a runner; a runner that starts again has another one.
+    /// Identifies one process lifetime of a runner; a restarted runner has a new one.
     RunnerId, "runner", check_name);
 name_type!(
-    /// Name of a route of forwarded requests.
+    /// Name of a route of the gateway.
     RouteName, "route", check_name);
 name_type!(
     /// A caller's idempotency key: 1 to 128 visible ASCII characters.
--- a/crates/bulrushusher_world/tests/checks.rs
+++ b/crates/bulrushusher_world/tests/checks.rs
@@ -1,8 +1,8 @@
-//! Raw input is checked, and a checked value survives the codec.
+//! Validation of raw input, and the serde round trip of validated values.
 
 use bulrushusher_world::{Closing, Endpoint, RawClosing, RawDeliverableClass, RawEndpoint};
 
-type Spoil = fn(&mut RawClosing);
+type Corruption = fn(&mut RawClosing);
 
 fn class(name: &str) -> RawDeliverableClass {
     RawDeliverableClass {
@@ -28,15 +28,15 @@
 }
 
 #[test]
-fn closing_survives_the_codec() {
+fn closing_round_trips_through_json() {
     let closing = Closing::try_from(closing()).unwrap();
     let text = serde_json::to_string(&closing).unwrap();
     assert_eq!(serde_json::from_str::<Closing>(&text).unwrap(), closing);
 }
 
 #[test]
-fn bad_closings_name_the_field() {
-    let cases: [(&str, Spoil); 6] = [
+fn errors_of_invalid_closings_name_the_field() {
+    let cases: [(&str, Corruption); 6] = [
         ("ends_unix_ms", |c| c.ends_unix_ms = 1),
         ("services", |c| c.services.clear()),
         ("classes", |c| c.classes.push(class("rationale"))),
@@ -44,16 +44,16 @@
         ("ttft_ms", |c| c.classes[0].ttft_ms = 0),
         ("patience", |c| c.classes[0].patience = "idle".into()),
     ];
-    for (field, spoil) in cases {
+    for (field, corrupt) in cases {
         let mut raw = closing();
-        spoil(&mut raw);
+        corrupt(&mut raw);
         let message = Closing::try_from(raw).unwrap_err().to_string();
         assert!(message.contains(field), "{message} does not name {field}");
     }
 }
 
 #[test]
-fn endpoint_addresses_are_checked() {
+fn invalid_endpoint_address_is_rejected() {
     let raw = RawEndpoint {
         name: "d1".into(),
         service: "rationale-llm".into(),
--- a/tools/bulrushusher_testbed/src/bed.rs
+++ b/tools/bulrushusher_testbed/src/bed.rs
@@ -13,7 +13,7 @@
 use bulrushusher_standin::engine::{Counts, Faults};
 use bulrushusher_standin::{Engine, EngineConfig, PlainService, Relay, Store};
 use bulrushusher_time::{Clock, Millis};
-use bulrushusher_world::{Role, WorldError};
+use bulrushusher_world::{Role, ValidationError};
 use derive_more::{Display, Error, From};
 use tonic::transport::Channel;
 
@@ -34,7 +34,7 @@
     Transport(tonic::transport::Error),
     /// A name or field is not valid.
     #[display("{_0}")]
-    World(WorldError),
+    World(ValidationError),
     /// The configuration was not in force in time.
     #[display("the configuration was not in force everywhere in time")]
     #[from(ignore)]
@@ -394,10 +394,10 @@
         Role::Service => (deployment.service, deployment.plain.places),
     };
     let mut agent_cfg = AgentConfig {
-        name: name.as_str().try_into().map_err(WorldError::from)?,
-        service: service.try_into().map_err(WorldError::from)?,
+        name: name.as_str().try_into().map_err(ValidationError::from)?,
+        service: service.try_into().map_err(ValidationError::from)?,
         role,
-        data_centre: data_centre.try_into().map_err(WorldError::from)?,
+        data_centre: data_centre.try_into().map_err(ValidationError::from)?,
         control: loopback(),
         stream: loopback(),
         target: target_addr,
@@ -447,8 +447,8 @@
     let data_centre = deployment.data_centres[number % deployment.data_centres.len()];
     let name = format!("{data_centre}-entry-{number}");
     Ok(EntryConfig {
-        name: name.as_str().try_into().map_err(WorldError::from)?,
-        data_centre: data_centre.try_into().map_err(WorldError::from)?,
+        name: name.as_str().try_into().map_err(ValidationError::from)?,
+        data_centre: data_centre.try_into().map_err(ValidationError::from)?,
         callers: loopback(),
         operators: loopback(),
         store,
