--- a/crates/bulrushusher_config/src/lib.rs
+++ b/crates/bulrushusher_config/src/lib.rs
@@ -1,7 +1,8 @@
-//! Settings in INI, each declared once with its unit, range and default, and checked at start.
+//! Settings in INI files, each declared once with its unit, range and default, and validated at
+//! start.
 //!
-//! A program declares a table of [`Setting`]s; [`Values::load`] reads a file against it and names
-//! file, section, key and remedy for the first thing that is wrong.
+//! A program declares a table of [`Setting`]s; [`Values::load`] validates a file against it and
+//! reports file, section, key and remedy of the first error.
 
 mod logs;
 mod program;
@@ -9,4 +10,4 @@
 
 pub use logs::{init_bounded_logs, init_logs};
 pub use program::{EXIT_BAD_SETTINGS, Program};
-pub use settings::{ConfigError, Kind, Setting, Values, reference, setting};
+pub use settings::{ConfigError, Kind, Setting, Values, setting, settings_reference};
--- a/crates/bulrushusher_config/src/logs.rs
+++ b/crates/bulrushusher_config/src/logs.rs
@@ -1,23 +1,24 @@
-//! Logs of daemons: a bounded number of lines, written by a thread of their own.
+//! Logging of daemons: rate-limited, and written by a separate thread.
 
 use std::io::Write;
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::time::Instant;
 
-/// Lines that wait for a slow reader of the output; what comes beyond is counted and left out.
-const WAITING_LINES: usize = 4_096;
+/// Capacity of the queue between loggers and the writer thread, in lines. Lines beyond it are
+/// dropped and counted.
+const QUEUE_LINES: usize = 4_096;
 
 /// Starts logging to standard error; `RUST_LOG` sets the level, `info` by default.
 pub fn init_logs() {
     builder().format_timestamp_millis().init();
 }
 
-/// Starts logging to standard output, at most `lines_per_second`, without ever blocking the
-/// caller. What is left out is counted and told once a second.
+/// Starts logging to standard output, at most `lines_per_second`, without ever blocking the thread
+/// that logs. Dropped lines are counted; the count is logged at most once a second.
 pub fn init_bounded_logs(lines_per_second: usize) {
-    let (tx, rx) = sync_channel(WAITING_LINES);
+    let (tx, rx) = sync_channel(QUEUE_LINES);
     std::thread::spawn(move || write_lines(&rx));
-    let writer = BoundedWriter::new(tx, lines_per_second);
+    let writer = RateLimitedWriter::new(tx, lines_per_second);
     let target = env_logger::Target::Pipe(Box::new(writer));
     builder().format_timestamp_millis().target(target).init();
 }
@@ -29,42 +30,49 @@
     builder
 }
 
-/// Takes lines until its second is used up.
-struct BoundedWriter {
+/// Queues lines for the writer thread; drops and counts those above the rate limit or the queue's
+/// capacity.
+struct RateLimitedWriter {
     tx: SyncSender<Vec<u8>>,
     lines_per_second: usize,
-    second_began: Instant,
-    lines: usize,
-    left_out: usize,
+    window_start: Instant,
+    lines_in_window: usize,
+    dropped: usize,
 }
 
-impl BoundedWriter {
-    fn new(tx: SyncSender<Vec<u8>>, lines_per_second: usize) -> BoundedWriter {
-        BoundedWriter { tx, lines_per_second, second_began: Instant::now(), lines: 0, left_out: 0 }
+impl RateLimitedWriter {
+    fn new(tx: SyncSender<Vec<u8>>, lines_per_second: usize) -> RateLimitedWriter {
+        RateLimitedWriter {
+            tx,
+            lines_per_second,
+            window_start: Instant::now(),
+            lines_in_window: 0,
+            dropped: 0,
+        }
     }
 
-    fn begin_second(&mut self) {
-        if self.second_began.elapsed().as_secs() == 0 {
+    fn start_window_if_due(&mut self) {
+        if self.window_start.elapsed().as_secs() == 0 {
             return;
         }
-        self.second_began = Instant::now();
-        self.lines = 0;
-        if self.left_out > 0 {
-            let line = format!("log: lines left out count={}\n", self.left_out);
+        self.window_start = Instant::now();
+        self.lines_in_window = 0;
+        if self.dropped > 0 {
+            let line = format!("log: lines left out count={}\n", self.dropped);
             if self.tx.try_send(line.into_bytes()).is_ok() {
-                self.left_out = 0;
+                self.dropped = 0;
             }
         }
     }
 }
 
-impl Write for BoundedWriter {
+impl Write for RateLimitedWriter {
     fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
-        self.begin_second();
-        self.lines += 1;
-        let is_left_out = self.lines > self.lines_per_second;
-        if is_left_out || self.tx.try_send(line.to_vec()).is_err() {
-            self.left_out += 1;
+        self.start_window_if_due();
+        self.lines_in_window += 1;
+        let is_over_limit = self.lines_in_window > self.lines_per_second;
+        if is_over_limit || self.tx.try_send(line.to_vec()).is_err() {
+            self.dropped += 1;
         }
         Ok(line.len())
     }
@@ -74,7 +82,8 @@
     }
 }
 
-/// Writes what waits in one go. Ends when the output is closed: nobody reads the lines then.
+/// Writes queued lines to standard output in batches. Returns when the output is closed, because
+/// nothing reads it any more.
 fn write_lines(rx: &Receiver<Vec<u8>>) {
     let mut out = std::io::stdout().lock();
     while let Ok(mut batch) = rx.recv() {
--- a/crates/bulrushusher_config/src/program.rs
+++ b/crates/bulrushusher_config/src/program.rs
@@ -1,27 +1,27 @@
-//! What every daemon's command line has in common.
+//! The command line shared by all daemons.
 
 use std::path::PathBuf;
 
 use clap::{Arg, ArgAction, ArgMatches, Command};
 
-use crate::{ConfigError, Setting, Values, reference};
+use crate::{ConfigError, Setting, Values, settings_reference};
 
-/// Exit code for settings or arguments that were not accepted.
+/// Process exit code for invalid settings or arguments.
 pub const EXIT_BAD_SETTINGS: i32 = 2;
 
-/// A daemon: its name, and the settings it takes.
+/// A daemon: its name and its settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Program {
     /// Name of the binary.
     pub name: &'static str,
-    /// What it is, in one line.
+    /// One-line description.
     pub about: &'static str,
-    /// Its settings.
+    /// The settings that it accepts.
     pub settings: &'static [Setting],
 }
 
 impl Program {
-    /// The command line: `--config`, `--check-config`, `--print-settings`.
+    /// The command line parser, with `--config`, `--check-config` and `--print-settings`.
     pub fn command(&self) -> Command {
         let config = Arg::new("config")
             .long("config")
@@ -43,25 +43,26 @@
             .args([config, check, print])
     }
 
-    /// Reads the command line and the settings, and makes the daemon's configuration of them.
-    /// Ends the process where the command line asks for that or something is wrong.
-    pub fn configure<T>(&self, make: fn(&Values) -> Result<T, ConfigError>) -> T {
-        self.configure_from(&self.command().get_matches(), make)
+    /// Parses the command line, loads the settings and builds the daemon's configuration with
+    /// `build`. Exits the process after `--print-settings` and `--check-config` (status 0), and on
+    /// invalid settings (status [`EXIT_BAD_SETTINGS`]).
+    pub fn configure<T>(&self, build: fn(&Values) -> Result<T, ConfigError>) -> T {
+        self.configure_from(&self.command().get_matches(), build)
     }
 
-    /// As [`Program::configure`], with a command line that was read already.
+    /// As [`Program::configure`], with a command line that is already parsed.
     pub fn configure_from<T>(
         &self,
         matches: &ArgMatches,
-        make: fn(&Values) -> Result<T, ConfigError>,
+        build: fn(&Values) -> Result<T, ConfigError>,
     ) -> T {
         if matches.get_flag("print-settings") {
-            print!("{}", reference(self.settings));
+            print!("{}", settings_reference(self.settings));
             std::process::exit(0);
         }
         let file = matches.get_one::<PathBuf>("config").cloned().unwrap_or_default();
-        let made = Values::load(&file, self.settings).and_then(|values| make(&values));
-        match made {
+        let result = Values::load(&file, self.settings).and_then(|values| build(&values));
+        match result {
             Ok(_) if matches.get_flag("check-config") => {
                 println!("{}: {} is good", self.name, file.display());
                 std::process::exit(0);
--- a/crates/bulrushusher_config/src/settings.rs
+++ b/crates/bulrushusher_config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Declared settings and their values.
+//! Declarations of settings, and validation of their values.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,34 +7,34 @@
 use derive_more::{Display, Error};
 use ini::Ini;
 
-/// What a setting may be.
+/// Type and range of a setting.
 #[derive(Clone, Copy, Debug)]
 pub enum Kind {
-    /// Any text that is not empty.
+    /// Any non-empty text.
     Text,
     /// `IP:port`.
     Address,
-    /// A whole number of milliseconds in a range.
+    /// A whole number of milliseconds, minimum and maximum included.
     Millis(u64, u64),
-    /// A whole number in a range.
+    /// A whole number, minimum and maximum included.
     Count(u64, u64),
-    /// A number in a range.
+    /// A floating-point number, minimum and maximum included.
     Real(f64, f64),
     /// `yes` or `no`.
     Flag,
-    /// One of some words.
+    /// One of a list of words.
     Choice(&'static [&'static str]),
 }
 
 impl Kind {
-    /// The unit and range, as shown to people.
+    /// The unit and range as text, for messages and the settings reference.
     pub fn range(self) -> String {
         match self {
             Kind::Text => "text".to_owned(),
             Kind::Address => "IP:port, such as 127.0.0.1:7001".to_owned(),
-            Kind::Millis(low, high) => format!("{low} to {high} milliseconds"),
-            Kind::Count(low, high) => format!("a whole number from {low} to {high}"),
-            Kind::Real(low, high) => format!("a number from {low} to {high}"),
+            Kind::Millis(min, max) => format!("{min} to {max} milliseconds"),
+            Kind::Count(min, max) => format!("a whole number from {min} to {max}"),
+            Kind::Real(min, max) => format!("a number from {min} to {max}"),
             Kind::Flag => "`yes` or `no`".to_owned(),
             Kind::Choice(words) => format!("one of {}", words.join(", ")),
         }
@@ -44,10 +44,10 @@
         match self {
             Kind::Text => !text.is_empty(),
             Kind::Address => text.parse::<SocketAddr>().is_ok(),
-            Kind::Millis(low, high) | Kind::Count(low, high) => {
-                text.parse().is_ok_and(|n: u64| (low..=high).contains(&n))
+            Kind::Millis(min, max) | Kind::Count(min, max) => {
+                text.parse().is_ok_and(|n: u64| (min..=max).contains(&n))
             }
-            Kind::Real(low, high) => text.parse().is_ok_and(|n: f64| (low..=high).contains(&n)),
+            Kind::Real(min, max) => text.parse().is_ok_and(|n: f64| (min..=max).contains(&n)),
             Kind::Flag => matches!(text, "yes" | "no"),
             Kind::Choice(words) => words.contains(&text),
         }
@@ -57,19 +57,19 @@
 /// One setting of a program.
 #[derive(Clone, Copy, Debug)]
 pub struct Setting {
-    /// Section of the file.
+    /// Section of the INI file.
     pub section: &'static str,
     /// Key in the section.
     pub key: &'static str,
-    /// What it may be.
+    /// Type and range of the value.
     pub kind: Kind,
-    /// Its value when the file has none; `None` when the file must have one.
+    /// Value used when the file does not set it; `None` when the file must set it.
     pub default: Option<&'static str>,
-    /// What it does.
+    /// Description, shown in the settings reference.
     pub help: &'static str,
 }
 
-/// Declares a setting; `default` is `None` when the file must have one.
+/// Declares a setting; `default` is `None` when the file must set it.
 pub const fn setting(
     section: &'static str,
     key: &'static str,
@@ -80,56 +80,56 @@
     Setting { section, key, kind, default, help }
 }
 
-/// Why settings were not accepted.
+/// Why a settings file was rejected.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum ConfigError {
-    /// The file cannot be read or is not INI.
+    /// The file cannot be read or is not valid INI.
     #[display("{file}: {cause}; give a readable INI file")]
     File {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// What went wrong.
+        /// The I/O or syntax error.
         cause: String,
     },
-    /// The file has a key that the program does not know.
+    /// The file has a key that the program does not declare.
     #[display("{file}: [{section}] {key} is not a setting; remove it or see --print-settings")]
     UnknownKey {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// Section in it.
+        /// Section of the file.
         section: String,
         /// Key in the section.
         key: String,
     },
-    /// The file lacks a key that has no default.
+    /// A setting without a default is missing in the file.
     #[display("{file}: [{section}] {key} is missing; give {range}")]
     Missing {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// Section in it.
+        /// Section of the file.
         section: String,
         /// Key in the section.
         key: String,
-        /// What it may be.
+        /// The allowed values.
         range: String,
     },
-    /// A value is out of its range.
+    /// A value has the wrong type or is out of range.
     #[display("{file}: [{section}] {key} is `{value}`; give {range}")]
     BadValue {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// Section in it.
+        /// Section of the file.
         section: String,
         /// Key in the section.
         key: String,
-        /// What the file says.
+        /// The value in the file.
         value: String,
-        /// What it may be.
+        /// The allowed values.
         range: String,
     },
 }
 
-/// Checked values of all settings of a program.
+/// The validated values of all settings of a program.
 #[derive(Clone, Debug, Default)]
 pub struct Values {
     file: String,
@@ -137,10 +137,10 @@
 }
 
 impl Values {
-    /// Reads a file against the declared settings.
+    /// Reads a file and validates it against the declared settings.
     ///
     /// # Errors
-    /// [`ConfigError`] for the first thing that is wrong.
+    /// [`ConfigError`] for the first error found.
     pub fn load(file: &Path, settings: &[Setting]) -> Result<Values, ConfigError> {
         let name = file.display().to_string();
         let text = std::fs::read_to_string(file)
@@ -148,15 +148,15 @@
         Values::parse(&name, &text, settings)
     }
 
-    /// Reads INI text against the declared settings; `file` is only for messages. A setting that is
-    /// left empty counts as not given.
+    /// Parses INI text and validates it against the declared settings; `file` is used in error
+    /// messages only. An empty value counts as not set.
     ///
     /// ```
     /// use bulrushusher_config::{Kind, Setting, Values, setting};
     /// use bulrushusher_time::Millis;
     /// const SETTINGS: &[Setting] = &[setting(
     ///     "gate", "time_to_live_ms", Kind::Millis(1, 60_000), Some("2000"),
-    ///     "How long a grant waits for its order.",
+    ///     "How long a granted slot is held for its order.",
     /// )];
     /// let values = Values::parse("a.ini", "[gate]\ntime_to_live_ms = 400\n", SETTINGS).unwrap();
     /// assert_eq!(values.millis("gate", "time_to_live_ms"), Millis(400));
@@ -172,7 +172,7 @@
     pub fn parse(file: &str, text: &str, settings: &[Setting]) -> Result<Values, ConfigError> {
         let ini = Ini::load_from_str(text)
             .map_err(|e| ConfigError::File { file: file.to_owned(), cause: e.to_string() })?;
-        check_known(file, &ini, settings)?;
+        check_all_declared(file, &ini, settings)?;
         let mut values = BTreeMap::new();
         for setting in settings {
             let given = ini.get_from(Some(setting.section), setting.key);
@@ -185,7 +185,7 @@
     /// The value as text.
     ///
     /// # Panics
-    /// When the setting was not declared: a mistake in the program.
+    /// When the setting is not declared, which is a bug in the program.
     pub fn text(&self, section: &str, key: &str) -> &str {
         let found = self.values.iter().find(|((s, k), _)| *s == section && *k == key);
         match found {
@@ -197,15 +197,15 @@
     /// The value as an address.
     ///
     /// # Panics
-    /// When the setting was not declared as one: a mistake in the program.
+    /// When the setting is not declared with this type, which is a bug in the program.
     pub fn address(&self, section: &str, key: &str) -> SocketAddr {
         self.parsed(section, key)
     }
 
-    /// The value as a length of time.
+    /// The value as a duration.
     ///
     /// # Panics
-    /// When the setting was not declared as one: a mistake in the program.
+    /// When the setting is not declared with this type, which is a bug in the program.
     pub fn millis(&self, section: &str, key: &str) -> bulrushusher_time::Millis {
         bulrushusher_time::Millis(self.parsed(section, key))
     }
@@ -213,15 +213,15 @@
     /// The value as a whole number.
     ///
     /// # Panics
-    /// When the setting was not declared as one: a mistake in the program.
+    /// When the setting is not declared with this type, which is a bug in the program.
     pub fn count(&self, section: &str, key: &str) -> usize {
         self.parsed(section, key)
     }
 
-    /// The value as a number.
+    /// The value as a floating-point number.
     ///
     /// # Panics
-    /// When the setting was not declared as one: a mistake in the program.
+    /// When the setting is not declared with this type, which is a bug in the program.
     pub fn real(&self, section: &str, key: &str) -> f64 {
         self.parsed(section, key)
     }
@@ -229,15 +229,15 @@
     /// The value as a flag.
     ///
     /// # Panics
-    /// When the setting was not declared: a mistake in the program.
+    /// When the setting is not declared, which is a bug in the program.
     pub fn flag(&self, section: &str, key: &str) -> bool {
         self.text(section, key) == "yes"
     }
 
-    /// The value made into a checked type of the world, such as a name.
+    /// The value converted to a validated type, such as a name.
     ///
     /// # Errors
-    /// [`ConfigError::BadValue`] with what the type says.
+    /// [`ConfigError::BadValue`] with the error of the conversion.
     pub fn checked<'a, T>(&'a self, section: &str, key: &str) -> Result<T, ConfigError>
     where
         T: TryFrom<&'a str>,
@@ -256,12 +256,12 @@
     fn parsed<T: std::str::FromStr>(&self, section: &str, key: &str) -> T {
         match self.text(section, key).parse() {
             Ok(value) => value,
-            Err(_) => panic!("[{section}] {key} was declared as another kind"),
+            Err(_) => panic!("[{section}] {key} is declared with another type"),
         }
     }
 }
 
-fn check_known(file: &str, ini: &Ini, settings: &[Setting]) -> Result<(), ConfigError> {
+fn check_all_declared(file: &str, ini: &Ini, settings: &[Setting]) -> Result<(), ConfigError> {
     for (section, properties) in ini.iter() {
         let section = section.unwrap_or("");
         for (key, _) in properties.iter() {
@@ -280,7 +280,7 @@
 fn check_value(file: &str, setting: &Setting, given: Option<&str>) -> Result<String, ConfigError> {
     let section = setting.section.to_owned();
     let (file, key, range) = (file.to_owned(), setting.key.to_owned(), setting.kind.range());
-    // A template leaves a value empty where the deployment has none for it.
+    // Templates of settings files leave a value empty when the deployment does not set it.
     let given = given.filter(|value| !value.is_empty());
     let Some(value) = given.or(setting.default) else {
         return Err(ConfigError::Missing { file, section, key, range });
@@ -292,8 +292,8 @@
     Ok(value.to_owned())
 }
 
-/// The reference of a program's settings, as a Markdown table.
-pub fn reference(settings: &[Setting]) -> String {
+/// Documentation of a program's settings, as a Markdown table.
+pub fn settings_reference(settings: &[Setting]) -> String {
     let mut text = String::from("| section | key | value | default | what it does |\n");
     text.push_str("| --- | --- | --- | --- | --- |\n");
     for s in settings {
--- a/tools/bulrushusher_testbed/tests/settings.rs
+++ b/tools/bulrushusher_testbed/tests/settings.rs
@@ -2,7 +2,7 @@
 //!
 //! After a change: `BULRUSH_WRITE_SETTINGS=1 cargo test -p bulrushusher_testbed --test settings`.
 
-use bulrushusher_config::{Program, reference};
+use bulrushusher_config::{Program, settings_reference};
 
 const PAGE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/SETTINGS.md");
 const HEAD: &str = "# Settings\n\nEvery program reads an INI file (`--config FILE.ini`) and checks \
@@ -22,7 +22,9 @@
         bulrushusher_standin::settings::PROGRAM,
         ctl,
     ];
-    let part = |p: Program| format!("\n## {}\n\n{}\n\n{}", p.name, p.about, reference(p.settings));
+    let part = |p: Program| {
+        format!("\n## {}\n\n{}\n\n{}", p.name, p.about, settings_reference(p.settings))
+    };
     HEAD.to_owned() + &programs.into_iter().map(part).collect::<String>()
 }
 
