--- a/crates/bulrushusher_time/src/lib.rs
+++ b/crates/bulrushusher_time/src/lib.rs
@@ -1,7 +1,7 @@
-//! One small clock type, in milliseconds.
+//! Millisecond timestamps and durations, and a clock that can be replaced in tests.
 //!
-//! Decisions take a [`Millis`] and never read a clock; daemons own a [`Clock`] and hand its reading
-//! in. Use [`Clock::manual`] in tests.
+//! Decision logic takes the current time as a [`Millis`] argument and never reads a clock; daemons
+//! own a [`Clock`] and pass its reading in. Tests use [`Clock::manual`].
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,9 +11,7 @@
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 
-/// A point in time or a length of time, in whole milliseconds.
-///
-/// As a point in time it counts from the Unix epoch.
+/// A timestamp or a duration, in whole milliseconds. A timestamp counts from the Unix epoch.
 ///
 /// ```
 /// use bulrushusher_time::Millis;
@@ -39,22 +37,22 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The largest value; as a point in time, "never".
+    /// The largest value; as a timestamp, "never".
     pub const MAX: Millis = Millis(u64::MAX);
 
-    /// Adds a length of time; stops at [`Millis::MAX`].
+    /// Adds a duration; saturates at [`Millis::MAX`].
     #[must_use]
-    pub fn plus(self, length: Millis) -> Millis {
-        Millis(self.0.saturating_add(length.0))
+    pub fn plus(self, duration: Millis) -> Millis {
+        Millis(self.0.saturating_add(duration.0))
     }
 
-    /// The length of time since `earlier`; zero when `earlier` is later.
+    /// The duration since `earlier`; saturates at zero.
     #[must_use]
     pub fn since(self, earlier: Millis) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// A share of the length, or some times it, in whole milliseconds.
+    /// Multiplies the duration by `share`, which may exceed 1; rounds down to whole milliseconds.
     ///
     /// ```
     /// # use bulrushusher_time::Millis;
@@ -65,7 +63,7 @@
         Millis((self.0 as f64 * share) as u64)
     }
 
-    /// The same length as a [`Duration`].
+    /// Converts to a [`Duration`].
     ///
     /// ```
     /// # use bulrushusher_time::Millis;
@@ -77,13 +75,13 @@
 }
 
 impl From<Duration> for Millis {
-    fn from(length: Duration) -> Millis {
-        Millis(u64::try_from(length.as_millis()).unwrap_or(u64::MAX))
+    fn from(duration: Duration) -> Millis {
+        Millis(u64::try_from(duration.as_millis()).unwrap_or(u64::MAX))
     }
 }
 
-/// A clock that never goes back: the Unix time at start plus the time since. Time for which the machine
-/// was suspended counts too, so that nothing outlives its lease by standing still.
+/// A monotonic clock: the Unix time at its creation plus the time elapsed since. Time during which
+/// the machine was suspended counts, so that leases also expire while the machine is suspended.
 ///
 /// ```
 /// use bulrushusher_time::{Clock, Millis};
@@ -93,30 +91,30 @@
 /// ```
 #[derive(Clone, Debug)]
 pub enum Clock {
-    /// Reads the machine's clock.
+    /// Reads the system clock.
     System {
-        /// Unix time at `origin`.
+        /// Unix time when the clock was created.
         start: Millis,
-        /// Time since the machine was booted, when the clock was made.
+        /// Time since boot when the clock was created.
         origin: Millis,
     },
-    /// Moves only by [`Clock::advance`].
+    /// Moves only through [`Clock::advance`].
     Manual(Arc<AtomicU64>),
 }
 
 impl Clock {
-    /// A clock that reads the machine's time.
+    /// Creates a clock that reads the system time.
     pub fn system() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock::System { start: unix.into(), origin: since_boot() }
     }
 
-    /// A clock for tests, standing at `now` until advanced.
+    /// Creates a clock for tests that stays at `now` until advanced.
     pub fn manual(now: Millis) -> Clock {
         Clock::Manual(Arc::new(AtomicU64::new(now.0)))
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Millis {
         match self {
             Clock::System { start, origin } => start.plus(since_boot().since(*origin)),
@@ -124,10 +122,10 @@
         }
     }
 
-    /// Moves a manual clock on by `length`; does nothing to a system clock.
-    pub fn advance(&self, length: Millis) {
+    /// Advances a manual clock by `duration`; no effect on a system clock.
+    pub fn advance(&self, duration: Millis) {
         if let Clock::Manual(now) = self {
-            now.fetch_add(length.0, Ordering::SeqCst);
+            now.fetch_add(duration.0, Ordering::SeqCst);
         }
     }
 }
@@ -138,9 +136,9 @@
     }
 }
 
-/// Time since the machine was booted, suspended or not.
+/// Time since boot, including time suspended (`CLOCK_BOOTTIME`).
 fn since_boot() -> Millis {
-    let at = clock_gettime(ClockId::Boottime);
-    let ms = at.tv_sec.saturating_mul(1_000).saturating_add(at.tv_nsec / 1_000_000);
+    let time = clock_gettime(ClockId::Boottime);
+    let ms = time.tv_sec.saturating_mul(1_000).saturating_add(time.tv_nsec / 1_000_000);
     Millis(u64::try_from(ms).unwrap_or_default())
 }
