--- a/crates/bulrushusher_agent/src/agent.rs
+++ b/crates/bulrushusher_agent/src/agent.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use arc_swap::ArcSwap;
-use bulrushusher_http::{HttpClient, Served, bind, serve};
+use bulrushusher_http::{HttpClient, HttpServer, bind, serve};
 use bulrushusher_time::Clock;
 use bulrushusher_wire::{AgentControlClient, AgentControlServer, AgentStatus, Heartbeat, ListPush};
 use bulrushusher_world::{EndpointName, Role};
@@ -78,7 +78,7 @@
     /// Where streams are taken.
     pub stream: SocketAddr,
     shared: Arc<Shared>,
-    served: Served,
+    served: HttpServer,
     rpc: ServerHandle,
     tasks: Vec<JoinHandle<()>>,
 }
--- a/crates/bulrushusher_agent/src/engine.rs
+++ b/crates/bulrushusher_agent/src/engine.rs
@@ -102,7 +102,7 @@
             // Granted first, computed first: the decode place that waits for it was taken then.
             priority: order.reservation.0,
         };
-        self.http.stream(self.engine, "/prefill", &call, self.silent).await
+        self.http.post_stream(self.engine, "/prefill", &call, self.silent).await
     }
 
     pub(crate) async fn decode(
@@ -114,12 +114,12 @@
         let kv = KvSource { engine: work.kv.engine, kv: work.kv.kv };
         let call = DecodeCall { run, key, kv, max_tokens: work.max_tokens };
         // The answer begins when the KV cache has come, or is known to be gone.
-        let opened = self.http.stream(self.engine, "/decode", &call, IMPORT_BOUND).await?;
-        Ok(opened.with_idle(self.silent))
+        let opened = self.http.post_stream(self.engine, "/decode", &call, IMPORT_BOUND).await?;
+        Ok(opened.with_idle_timeout(self.silent))
     }
 
     pub(crate) async fn resume(&self, run: &str, from: usize) -> Result<LineStream, HttpError> {
-        self.http.stream(self.engine, "/resume", &ResumeCall { run, from }, self.silent).await
+        self.http.post_stream(self.engine, "/resume", &ResumeCall { run, from }, self.silent).await
     }
 
     /// Frees the memory of a run; false when the engine held none.
--- a/crates/bulrushusher_agent/src/main.rs
+++ b/crates/bulrushusher_agent/src/main.rs
@@ -9,7 +9,7 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     runtime.block_on(async {
         let agent = Agent::start(cfg).await?;
-        bulrushusher_http::terminated().await?;
+        bulrushusher_http::shutdown_signal().await?;
         agent.shut_down().await;
         Ok(())
     })
--- a/crates/bulrushusher_agent/src/prefill.rs
+++ b/crates/bulrushusher_agent/src/prefill.rs
@@ -40,7 +40,7 @@
     tx: &mpsc::Sender<Bytes>,
 ) -> Result<(), HttpError> {
     let mut stream = shared.engine.prefill(order).await?;
-    while let Some(event) = stream.message().await? {
+    while let Some(event) = stream.next_message().await? {
         let (frame, is_last) = match event {
             PrefillEvent::Beat => (Frame::Beat, false),
             PrefillEvent::Done { kv, tokens, cached } => {
--- a/crates/bulrushusher_agent/src/runner.rs
+++ b/crates/bulrushusher_agent/src/runner.rs
@@ -139,7 +139,7 @@
 
 /// Reads a stream into the answer; `None` when it ended without an end.
 async fn follow(mut stream: LineStream, answer: &Answer) -> Result<Option<Outcome>, HttpError> {
-    while let Some(event) = stream.message().await? {
+    while let Some(event) = stream.next_message().await? {
         match event {
             DecodeEvent::Beat => {}
             DecodeEvent::Token { n, text } if n == answer.tokens() => answer.push_token(text),
--- a/crates/bulrushusher_entry/src/agents.rs
+++ b/crates/bulrushusher_entry/src/agents.rs
@@ -103,8 +103,8 @@
             let cause = "no client can be made".to_owned();
             return Err(HttpError::Connect { peer: endpoint.stream.to_string(), cause });
         };
-        let opened = held.http.stream(endpoint.stream, path, order, bound).await;
-        if matches!(opened, Err(HttpError::Silent { .. })) {
+        let opened = held.http.post_stream(endpoint.stream, path, order, bound).await;
+        if matches!(opened, Err(HttpError::Timeout { .. })) {
             self.distrust(endpoint);
         }
         opened
--- a/crates/bulrushusher_entry/src/entry.rs
+++ b/crates/bulrushusher_entry/src/entry.rs
@@ -6,7 +6,7 @@
 
 use arc_swap::ArcSwap;
 use bulrushusher_accounts::{Quota, QuotaBook};
-use bulrushusher_http::{Served, bind, serve};
+use bulrushusher_http::{HttpServer, bind, serve};
 use bulrushusher_once::Owner;
 use bulrushusher_operator::v1::operator_server::OperatorServer;
 use bulrushusher_report::EntryMetrics;
@@ -202,7 +202,7 @@
     /// Where operators' RPC is taken.
     pub operators: SocketAddr,
     shared: Arc<Shared>,
-    served: Served,
+    served: HttpServer,
     stop_operators: Option<oneshot::Sender<()>>,
     tasks: Vec<JoinHandle<()>>,
 }
--- a/crates/bulrushusher_entry/src/prompt_task.rs
+++ b/crates/bulrushusher_entry/src/prompt_task.rs
@@ -176,7 +176,7 @@
     order: &PrefillRun,
 ) -> Result<Option<(KvHandle, LineStream)>, HttpError> {
     let mut stream = shared.agents.prefill(endpoint, order).await?;
-    while let Some(frame) = stream.message::<Frame>().await? {
+    while let Some(frame) = stream.next_message::<Frame>().await? {
         match frame {
             Frame::Beat => {}
             Frame::Prefilled { kv, .. } => return Ok(Some((kv, stream))),
--- a/crates/bulrushusher_entry/src/run_stream.rs
+++ b/crates/bulrushusher_entry/src/run_stream.rs
@@ -167,7 +167,7 @@
             Interrupted::Ended(end) => ended(end, open),
             Interrupted::Connection(e) => {
                 log::info!("{LOG} stream of {} is resumed: {e}", self.key);
-                if matches!(e, HttpError::Silent { .. }) {
+                if matches!(e, HttpError::Timeout { .. }) {
                     self.shared.agents.went_silent(self.endpoint);
                 }
                 self.resume(open, self.shared.cfg.resume).await
@@ -222,10 +222,10 @@
     }
 
     async fn next_part(&mut self, stream: &mut LineStream) -> Result<Option<Part>, Interrupted> {
-        let Some(frame) = stream.message::<Frame>().await? else {
+        let Some(frame) = stream.next_message::<Frame>().await? else {
             let peer = self.endpoint.stream.to_string();
             let cause = "the stream ended early".to_owned();
-            return Err(HttpError::Broken { peer, cause }.into());
+            return Err(HttpError::ConnectionLost { peer, cause }.into());
         };
         match frame {
             Frame::Beat => Ok(None),
@@ -237,7 +237,7 @@
             Frame::Token { n, .. } if n < self.passed => Ok(None),
             Frame::End { tokens } if tokens == self.passed => Ok(Some(Part::End)),
             Frame::Answer { status, content_type, len } => {
-                let body = stream.raw(len as usize).await?;
+                let body = stream.read_bytes(len as usize).await?;
                 Ok(Some(Part::Whole { status, content_type, body }))
             }
             Frame::NotTaken(why) => Err(Interrupted::Ended(StreamEnd::NotTaken(why))),
--- a/crates/bulrushusher_http/src/client.rs
+++ b/crates/bulrushusher_http/src/client.rs
@@ -1,4 +1,4 @@
-//! The client.
+//! HTTP client for JSON calls and line streams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,30 +17,30 @@
 use crate::{HttpError, LineStream};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-const POOL_IDLE: Duration = Duration::from_secs(30);
-/// The longest silence between two lines of an opened stream.
-const LINE_IDLE: Duration = Duration::from_secs(12);
-const MAX_ERROR_BODY: usize = 2 << 20;
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Idle timeout between two reads of a stream opened with [`HttpClient::call_stream`].
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(12);
+const MAX_ERROR_BODY_BYTES: usize = 2 << 20;
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct HttpReply {
     /// HTTP status.
     pub status: u16,
     /// Headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl HttpReply {
-    /// A header as text; empty when it is missing or not text.
+    /// The value of a header; empty when it is missing or not visible ASCII.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("")
     }
 }
 
-/// The parts of a request.
+/// The parts of a request with arbitrary method, headers and body.
 #[derive(Clone, Debug)]
 pub struct RequestParts<'a> {
     /// HTTP method.
@@ -49,7 +49,7 @@
     pub path: &'a str,
     /// Headers.
     pub headers: &'a [(&'a str, &'a str)],
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
@@ -66,22 +66,22 @@
 }
 
 impl HttpClient {
-    /// A client with an empty pool.
+    /// Creates a client with an empty connection pool.
     pub fn new() -> HttpClient {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let inner = Client::builder(TokioExecutor::new())
-            .pool_idle_timeout(POOL_IDLE)
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
             .pool_timer(hyper_util::rt::TokioTimer::new())
             .build(connector);
         HttpClient { inner }
     }
 
-    /// Sends a request and reads the whole answer, whatever its status, within `timeout`.
+    /// Sends a request and reads the complete response, of any status, within `timeout`.
     ///
     /// # Errors
-    /// [`HttpError`]; only [`HttpError::Connect`] is certain that the peer saw nothing.
+    /// [`HttpError`]; only [`HttpError::Connect`] guarantees that the peer received nothing.
     pub async fn send(
         &self,
         peer: SocketAddr,
@@ -89,21 +89,21 @@
         timeout: Duration,
     ) -> Result<HttpReply, HttpError> {
         let exchange = async {
-            let reply = self.begin(peer, req).await?;
+            let reply = self.send_head(peer, req).await?;
             let (parts, body) = reply.into_parts();
-            let body = collect(peer, body).await?;
+            let body = read_body(peer, body).await?;
             Ok(HttpReply { status: parts.status.as_u16(), headers: parts.headers, body })
         };
         match tokio::time::timeout(timeout, exchange).await {
             Ok(done) => done,
-            Err(_) => Err(HttpError::Silent { peer: peer.to_string(), after: timeout }),
+            Err(_) => Err(HttpError::Timeout { peer: peer.to_string(), timeout }),
         }
     }
 
-    /// Makes a request of its parts and sends it as [`HttpClient::send`] does.
+    /// Builds a request from its parts and sends it with [`HttpClient::send`].
     ///
     /// # Errors
-    /// As [`HttpClient::send`]; [`HttpError::Codec`] for parts that make no request.
+    /// As [`HttpClient::send`]; [`HttpError::Codec`] for parts that are not a valid request.
     pub async fn call(
         &self,
         peer: SocketAddr,
@@ -113,10 +113,11 @@
         self.send(peer, parts_request(peer, parts)?, timeout).await
     }
 
-    /// Posts `message` as JSON and reads a JSON answer.
+    /// Posts `message` as JSON and reads a JSON response within `timeout`.
     ///
     /// # Errors
-    /// As [`HttpClient::send`]; [`HttpError::Status`] for an answer that is not a success.
+    /// As [`HttpClient::send`]; [`HttpError::Status`] for a status other than
+    /// 2xx; [`HttpError::Codec`] for a response that cannot be decoded.
     pub async fn post<T: Serialize, R: DeserializeOwned>(
         &self,
         peer: SocketAddr,
@@ -128,7 +129,7 @@
         read_json(peer, &reply)
     }
 
-    /// Gets a JSON answer.
+    /// Sends a GET request and reads a JSON response within `timeout`.
     ///
     /// # Errors
     /// As [`HttpClient::post`].
@@ -143,53 +144,55 @@
         read_json(peer, &reply)
     }
 
-    /// Posts `message` as JSON and reads the answer as lines. `idle` bounds the wait for the head
-    /// and for each line after it.
+    /// Posts `message` as JSON and returns the response body as a stream of lines. `idle_timeout`
+    /// limits the wait for the response head and for each read of the body.
     ///
     /// # Errors
     /// As [`HttpClient::post`].
-    pub async fn stream<T: Serialize>(
+    pub async fn post_stream<T: Serialize>(
         &self,
         peer: SocketAddr,
         path: &str,
         message: &T,
-        idle: Duration,
+        idle_timeout: Duration,
     ) -> Result<LineStream, HttpError> {
         let req = json_request(peer, path, message)?;
-        let head = tokio::time::timeout(idle, self.begin(peer, req)).await;
-        let reply =
-            head.map_err(|_| HttpError::Silent { peer: peer.to_string(), after: idle })??;
+        let head = tokio::time::timeout(idle_timeout, self.send_head(peer, req)).await;
+        let reply = head
+            .map_err(|_| HttpError::Timeout { peer: peer.to_string(), timeout: idle_timeout })??;
         if reply.status().is_success() {
-            return Ok(LineStream::new(peer, reply.into_body(), idle));
+            return Ok(LineStream::new(peer, reply.into_body(), idle_timeout));
         }
         let status = reply.status();
-        let body = tokio::time::timeout(idle, collect(peer, reply.into_body())).await;
-        let body =
-            body.map_err(|_| HttpError::Silent { peer: peer.to_string(), after: idle })??;
+        let body = tokio::time::timeout(idle_timeout, read_body(peer, reply.into_body())).await;
+        let body = body
+            .map_err(|_| HttpError::Timeout { peer: peer.to_string(), timeout: idle_timeout })??;
         Err(status_error(peer, status, &body))
     }
 
-    /// Makes a request of its parts and reads a success as lines. The head may take as long as it
-    /// takes; `LINE_IDLE` bounds the wait for each line.
+    /// Builds a request from its parts and returns the response body as a stream of lines. The wait
+    /// for the response head and for the body of an error has no timeout; the wait for each read of
+    /// the stream is limited to 12 s.
     ///
     /// # Errors
-    /// As [`HttpClient::stream`].
-    pub async fn open(
+    /// As [`HttpClient::post_stream`].
+    pub async fn call_stream(
         &self,
         peer: SocketAddr,
         parts: RequestParts<'_>,
     ) -> Result<LineStream, HttpError> {
         let req = parts_request(peer, parts)?;
-        let reply = self.begin(peer, req).await?;
+        let reply = self.send_head(peer, req).await?;
         if reply.status().is_success() {
-            return Ok(LineStream::new(peer, reply.into_body(), LINE_IDLE));
+            return Ok(LineStream::new(peer, reply.into_body(), STREAM_IDLE_TIMEOUT));
         }
         let status = reply.status();
-        let body = collect(peer, reply.into_body()).await?;
+        let body = read_body(peer, reply.into_body()).await?;
         Err(status_error(peer, status, &body))
     }
 
-    async fn begin(
+    /// Sends a request and waits for the response head, without a timeout.
+    async fn send_head(
         &self,
         peer: SocketAddr,
         req: Request<Full<Bytes>>,
@@ -198,13 +201,13 @@
             let cause = format!("{e:?}");
             match e.is_connect() {
                 true => HttpError::Connect { peer: peer.to_string(), cause },
-                false => HttpError::Broken { peer: peer.to_string(), cause },
+                false => HttpError::ConnectionLost { peer: peer.to_string(), cause },
             }
         })
     }
 }
 
-/// Makes a request to `peer`.
+/// Builds a request with content type `application/json`.
 pub(crate) fn request(
     peer: SocketAddr,
     method: Method,
@@ -252,13 +255,13 @@
 }
 
 fn status_error(peer: SocketAddr, status: StatusCode, body: &Bytes) -> HttpError {
-    let text = String::from_utf8_lossy(&body[..body.len().min(MAX_ERROR_BODY)]).into_owned();
+    let text = String::from_utf8_lossy(&body[..body.len().min(MAX_ERROR_BODY_BYTES)]).into_owned();
     HttpError::Status { peer: peer.to_string(), status: status.as_u16(), body: text }
 }
 
-async fn collect(peer: SocketAddr, body: Incoming) -> Result<Bytes, HttpError> {
-    let whole = body.collect().await;
-    whole
+async fn read_body(peer: SocketAddr, body: Incoming) -> Result<Bytes, HttpError> {
+    let collected = body.collect().await;
+    collected
         .map(|body| body.to_bytes())
-        .map_err(|e| HttpError::Broken { peer: peer.to_string(), cause: e.to_string() })
+        .map_err(|e| HttpError::ConnectionLost { peer: peer.to_string(), cause: e.to_string() })
 }
--- a/crates/bulrushusher_http/src/error.rs
+++ b/crates/bulrushusher_http/src/error.rs
@@ -1,58 +1,62 @@
-//! What can go wrong with an HTTP exchange.
+//! Errors of HTTP calls.
 
 use std::time::Duration;
 
 use derive_more::{Display, Error};
 
-/// Why an HTTP exchange gave no usable answer.
+/// Why an HTTP call gave no usable response.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum HttpError {
-    /// No connection could be made: the peer saw nothing of the request.
-    #[display("no connection to {peer}; check that it runs ({cause})")]
+    /// No connection could be established: the peer received nothing of the request.
+    #[display("cannot connect to {peer}; check that it is running ({cause})")]
     Connect {
         /// The peer's address.
         peer: String,
-        /// What the system said.
+        /// The underlying error.
         cause: String,
     },
-    /// The peer did not answer, or went silent, within the bound. It may have acted.
-    #[display("{peer} was silent for {} ms; it may have acted", after.as_millis())]
-    Silent {
+    /// The peer sent no response, or stopped sending, for longer than the timeout. It may have
+    /// executed the request.
+    #[display(
+        "{peer} was silent for {} ms; it may have executed the request",
+        timeout.as_millis()
+    )]
+    Timeout {
         /// The peer's address.
         peer: String,
-        /// The bound.
-        after: Duration,
+        /// The timeout.
+        timeout: Duration,
     },
-    /// The connection broke. The peer may have acted.
-    #[display("connection to {peer} broke; it may have acted ({cause})")]
-    Broken {
+    /// The connection was lost after it was established. The peer may have executed the request.
+    #[display("connection to {peer} was lost; it may have executed the request ({cause})")]
+    ConnectionLost {
         /// The peer's address.
         peer: String,
-        /// What the system said.
+        /// The underlying error.
         cause: String,
     },
-    /// The peer answered with a status that is not a success.
-    #[display("{peer} answered {status}: {body}")]
+    /// The peer responded with a status other than 2xx.
+    #[display("{peer} responded with status {status}: {body}")]
     Status {
         /// The peer's address.
         peer: String,
         /// HTTP status.
         status: u16,
-        /// The body, as text, cut at 2 MiB.
+        /// The body as text, truncated at 2 MiB.
         body: String,
     },
-    /// The answer could not be read as the expected message.
-    #[display("{peer} sent a message that cannot be read; check its version ({cause})")]
+    /// A request could not be encoded, or a response could not be decoded.
+    #[display("cannot encode or decode a message to or from {peer}; check its version ({cause})")]
     Codec {
         /// The peer's address.
         peer: String,
-        /// What the codec said.
+        /// The error of the codec.
         cause: String,
     },
 }
 
 impl HttpError {
-    /// True when the peer certainly saw nothing of the request.
+    /// True when it is certain that the peer received nothing of the request.
     pub fn is_unsent(&self) -> bool {
         matches!(self, HttpError::Connect { .. })
     }
--- a/crates/bulrushusher_http/src/lib.rs
+++ b/crates/bulrushusher_http/src/lib.rs
@@ -1,6 +1,7 @@
-//! Small HTTP helpers used at process edges: a JSON client, an NDJSON stream reader, listeners.
+//! HTTP helpers for communication between processes: a client, an NDJSON stream reader, a server.
 //!
-//! Every call has a timeout, so a connection that goes silent is noticed in a bounded time.
+//! Every wait for data has a timeout, so that a stalled connection is detected in bounded time,
+//! except for the response head and error body in [`HttpClient::call_stream`].
 
 mod client;
 mod error;
@@ -11,8 +12,8 @@
 pub use client::{HttpClient, HttpReply, RequestParts};
 pub use error::HttpError;
 pub use lines::LineStream;
-pub use listen::{bind, nodelay, terminated};
+pub use listen::{bind, connect_nodelay, shutdown_signal};
 pub use serve::{
-    Served, get_route, json_line, json_reply, json_status, post_route, reject_json, serve,
+    HttpServer, get_route, json_line, json_reply, json_status, post_route, reject_json, serve,
     stream_reply,
 };
--- a/crates/bulrushusher_http/src/lines.rs
+++ b/crates/bulrushusher_http/src/lines.rs
@@ -1,4 +1,4 @@
-//! A response body read as lines, with raw bytes between them where a line announces some.
+//! Reader of response bodies made of lines, optionally with raw bytes in between.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,43 +10,44 @@
 
 use crate::HttpError;
 
-/// The longest line, in bytes.
-const MAX_LINE: usize = 1 << 20;
+/// Maximum length of a line, in bytes.
+const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// A stream of lines. Dropping it closes the connection.
+/// A stream of lines. Dropping it before its end closes the connection.
 #[derive(Debug)]
 pub struct LineStream {
     peer: SocketAddr,
     body: Incoming,
     buf: BytesMut,
-    idle: Duration,
+    idle_timeout: Duration,
 }
 
 impl LineStream {
-    pub(crate) fn new(peer: SocketAddr, body: Incoming, idle: Duration) -> LineStream {
-        LineStream { peer, body, buf: BytesMut::new(), idle }
+    pub(crate) fn new(peer: SocketAddr, body: Incoming, idle_timeout: Duration) -> LineStream {
+        LineStream { peer, body, buf: BytesMut::new(), idle_timeout }
     }
 
-    /// The same stream with another bound on silence.
+    /// Replaces the timeout of each read.
     #[must_use]
-    pub fn with_idle(mut self, idle: Duration) -> LineStream {
-        self.idle = idle;
+    pub fn with_idle_timeout(mut self, idle_timeout: Duration) -> LineStream {
+        self.idle_timeout = idle_timeout;
         self
     }
 
-    /// The next line without its end; `None` at the end of the body.
+    /// Reads the next line, without its newline; `None` at the end of the body.
     ///
     /// # Errors
-    /// [`HttpError::Silent`] when nothing comes for the idle bound, [`HttpError::Broken`] when the
-    /// connection breaks, [`HttpError::Codec`] when a line is longer than 1 MiB.
-    pub async fn line(&mut self) -> Result<Option<Bytes>, HttpError> {
+    /// [`HttpError::Timeout`] when nothing is received for the idle timeout,
+    /// [`HttpError::ConnectionLost`] when the connection is lost, [`HttpError::Codec`] when a line
+    /// is longer than 1 MiB.
+    pub async fn next_line(&mut self) -> Result<Option<Bytes>, HttpError> {
         loop {
             if let Some(end) = self.buf.iter().position(|byte| *byte == b'\n') {
                 let line = self.buf.split_to(end + 1).freeze();
                 return Ok(Some(line.slice(..end)));
             }
-            if self.buf.len() > MAX_LINE {
-                return Err(self.codec("a line is longer than 1 MiB"));
+            if self.buf.len() > MAX_LINE_BYTES {
+                return Err(self.codec_error("a line is longer than 1 MiB"));
             }
             if !self.fill().await? {
                 return Ok(None);
@@ -54,33 +55,36 @@
         }
     }
 
-    /// The next line as a JSON message; `None` at the end of the body.
+    /// Reads the next line and decodes it as JSON; `None` at the end of the body.
     ///
     /// # Errors
-    /// As [`LineStream::line`].
-    pub async fn message<R: DeserializeOwned>(&mut self) -> Result<Option<R>, HttpError> {
-        let Some(line) = self.line().await? else { return Ok(None) };
-        serde_json::from_slice(&line).map(Some).map_err(|e| self.codec(&e.to_string()))
+    /// As [`LineStream::next_line`]; [`HttpError::Codec`] when a line cannot be decoded.
+    pub async fn next_message<R: DeserializeOwned>(&mut self) -> Result<Option<R>, HttpError> {
+        let Some(line) = self.next_line().await? else { return Ok(None) };
+        serde_json::from_slice(&line).map(Some).map_err(|e| self.codec_error(&e.to_string()))
     }
 
-    /// Exactly `len` raw bytes.
+    /// Reads exactly `len` raw bytes.
     ///
     /// # Errors
-    /// As [`LineStream::line`]; [`HttpError::Broken`] when the body ends before.
-    pub async fn raw(&mut self, len: usize) -> Result<Bytes, HttpError> {
+    /// As [`LineStream::next_line`]; [`HttpError::ConnectionLost`] when the body ends early.
+    pub async fn read_bytes(&mut self, len: usize) -> Result<Bytes, HttpError> {
         while self.buf.len() < len {
             if !self.fill().await? {
                 let cause = "the body ended early".to_owned();
-                return Err(HttpError::Broken { peer: self.peer.to_string(), cause });
+                return Err(HttpError::ConnectionLost { peer: self.peer.to_string(), cause });
             }
         }
         Ok(self.buf.split_to(len).freeze())
     }
 
+    /// Receives the next chunk of the body into the buffer; false at the end of the body.
     async fn fill(&mut self) -> Result<bool, HttpError> {
-        let frame = tokio::time::timeout(self.idle, self.body.frame()).await;
-        let frame = frame
-            .map_err(|_| HttpError::Silent { peer: self.peer.to_string(), after: self.idle })?;
+        let frame = tokio::time::timeout(self.idle_timeout, self.body.frame()).await;
+        let frame = frame.map_err(|_| HttpError::Timeout {
+            peer: self.peer.to_string(),
+            timeout: self.idle_timeout,
+        })?;
         match frame {
             None => Ok(false),
             Some(Ok(frame)) => {
@@ -90,12 +94,12 @@
                 Ok(true)
             }
             Some(Err(e)) => {
-                Err(HttpError::Broken { peer: self.peer.to_string(), cause: e.to_string() })
+                Err(HttpError::ConnectionLost { peer: self.peer.to_string(), cause: e.to_string() })
             }
         }
     }
 
-    fn codec(&self, cause: &str) -> HttpError {
+    fn codec_error(&self, cause: &str) -> HttpError {
         HttpError::Codec { peer: self.peer.to_string(), cause: cause.to_owned() }
     }
 }
--- a/crates/bulrushusher_http/src/listen.rs
+++ b/crates/bulrushusher_http/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listeners whose connections send small writes at once.
+//! TCP connections with `TCP_NODELAY`, and the shutdown signal.
 
 use std::net::SocketAddr;
 
@@ -6,11 +6,11 @@
 
 const BACKLOG: u32 = 1_024;
 
-/// Listens on `addr`. Accepted connections inherit "no delay" from the listening socket, so that a
-/// token is not held back until the one before it is acknowledged.
+/// Listens on `addr`. Accepted connections inherit `TCP_NODELAY` from the listening socket, so that
+/// a token is not delayed until the previous one is acknowledged (Nagle's algorithm).
 ///
 /// # Errors
-/// What the system says, such as "address in use".
+/// The error of the system call, such as "address in use".
 pub fn bind(addr: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if addr.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
@@ -19,11 +19,11 @@
     socket.listen(BACKLOG)
 }
 
-/// Connects to `addr` with "no delay" set.
+/// Connects to `addr` with `TCP_NODELAY` set.
 ///
 /// # Errors
-/// What the system says.
-pub async fn nodelay(addr: SocketAddr) -> std::io::Result<TcpStream> {
+/// The error of the system call.
+pub async fn connect_nodelay(addr: SocketAddr) -> std::io::Result<TcpStream> {
     let stream = TcpStream::connect(addr).await?;
     stream.set_nodelay(true)?;
     Ok(stream)
@@ -32,11 +32,11 @@
 /// Waits for SIGTERM or SIGINT.
 ///
 /// # Errors
-/// When the signal cannot be listened for.
-pub async fn terminated() -> std::io::Result<()> {
-    let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
+/// When a signal handler cannot be installed.
+pub async fn shutdown_signal() -> std::io::Result<()> {
+    let mut sigterm = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
     tokio::select! {
-        _ = term.recv() => Ok(()),
-        interrupted = tokio::signal::ctrl_c() => interrupted,
+        _ = sigterm.recv() => Ok(()),
+        result = tokio::signal::ctrl_c() => result,
     }
 }
--- a/crates/bulrushusher_http/src/serve.rs
+++ b/crates/bulrushusher_http/src/serve.rs
@@ -1,4 +1,4 @@
-//! Small pieces for serving with `warp`: JSON routes, streamed bodies, a server that stops.
+//! Helpers for serving with `warp`: JSON routes, streamed bodies, graceful shutdown.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -18,10 +18,10 @@
 
 use crate::bind;
 
-/// The largest body of a call between our own processes, in bytes.
-const MAX_BODY: u64 = 16 << 20;
+/// Maximum size of the body of a call between the router's processes, in bytes.
+const MAX_BODY_BYTES: u64 = 16 << 20;
 
-/// A route `POST /{path}` that takes a JSON message.
+/// A route `POST /{path}` with a JSON body of at most 16 MiB.
 pub fn post_route<S, T, F, Fut>(path: &'static str, state: S, handle: F) -> BoxedFilter<(Response,)>
 where
     S: Clone + Send + Sync + 'static,
@@ -32,7 +32,7 @@
     warp::post()
         .and(warp::path(path))
         .and(warp::path::end())
-        .and(warp::body::content_length_limit(MAX_BODY))
+        .and(warp::body::content_length_limit(MAX_BODY_BYTES))
         .and(warp::body::json())
         .then(move |message: T| handle(state.clone(), message))
         .boxed()
@@ -52,42 +52,43 @@
         .boxed()
 }
 
-/// A JSON answer with status 200.
+/// A JSON response with status 200.
 pub fn json_reply<T: Serialize>(message: &T) -> Response {
     warp::reply::json(message).into_response()
 }
 
-/// A JSON answer with another status.
+/// A JSON response with the given status; 500 when `status` is not a valid status code.
 pub fn json_status<T: Serialize>(status: u16, message: &T) -> Response {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     warp::reply::with_status(warp::reply::json(message), status).into_response()
 }
 
-/// A streamed answer: what is sent to the other end of `rx`, as it comes.
+/// A streamed response: forwards each chunk from `rx`, and ends when its senders are dropped.
 pub fn stream_reply(rx: mpsc::Receiver<Bytes>, content_type: &'static str) -> Response {
     let body = ReceiverStream::new(rx).map(Ok::<Bytes, Infallible>);
     let reply = warp::reply::stream(body);
     warp::reply::with_header(reply, "content-type", content_type).into_response()
 }
 
-/// One line of JSON.
+/// Encodes a message as one line of JSON, newline included.
 pub fn json_line<T: Serialize>(message: &T) -> Bytes {
     let mut line = serde_json::to_vec(message).unwrap_or_default();
     line.push(b'\n');
     line.into()
 }
 
-/// A running server.
+/// Handle of a running server.
 #[derive(Debug)]
-pub struct Served {
-    /// Where it listens.
+pub struct HttpServer {
+    /// The address that it listens on.
     pub addr: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
     task: JoinHandle<()>,
 }
 
-impl Served {
-    /// Accepts no more connections and waits until the open ones have answered.
+impl HttpServer {
+    /// Shuts down gracefully: accepts no more connections and waits until in-flight requests have
+    /// been answered.
     pub async fn stop(mut self) {
         if let Some(stop) = self.stop.take() {
             stop.send(()).ok();
@@ -95,17 +96,17 @@
         (&mut self.task).await.ok();
     }
 
-    /// Stops listening at once.
+    /// Stops accepting connections immediately, without waiting for in-flight requests.
     pub fn abort(&self) {
         self.task.abort();
     }
 }
 
-/// Serves `filter` on `addr` (port 0 for any) until stopped.
+/// Serves `filter` on `addr` until stopped. Port 0 selects a free port.
 ///
 /// # Errors
-/// What the system says, such as "address in use".
-pub fn serve<F>(addr: SocketAddr, filter: F) -> std::io::Result<Served>
+/// The error of the system call, such as "address in use".
+pub fn serve<F>(addr: SocketAddr, filter: F) -> std::io::Result<HttpServer>
 where
     F: Filter<Error = Infallible> + Clone + Send + Sync + 'static,
     F::Extract: Reply,
@@ -116,19 +117,20 @@
     let server = warp::serve(filter).incoming(listener).graceful(async move {
         stopped.await.ok();
     });
-    Ok(Served { addr, stop: Some(stop), task: tokio::spawn(server.run()) })
+    Ok(HttpServer { addr, stop: Some(stop), task: tokio::spawn(server.run()) })
 }
 
-/// Answers what no route takes, or a body that cannot be read, with a typed JSON error.
+/// Responds to a rejected request with a typed JSON error: status 404 when no route matches,
+/// otherwise 400.
 pub fn reject_json(
     rejection: warp::Rejection,
 ) -> impl Future<Output = Result<Response, Infallible>> + Send {
     #[derive(Serialize)]
-    struct Problem {
+    struct ErrorReply {
         error: &'static str,
         cause: String,
     }
     let status = if rejection.is_not_found() { 404 } else { 400 };
     let cause = format!("{rejection:?}");
-    std::future::ready(Ok(json_status(status, &Problem { error: "bad_call", cause })))
+    std::future::ready(Ok(json_status(status, &ErrorReply { error: "bad_call", cause })))
 }
--- a/crates/bulrushusher_standin/src/caller.rs
+++ b/crates/bulrushusher_standin/src/caller.rs
@@ -170,7 +170,7 @@
             headers: &headers,
             body: body.to_string().into(),
         };
-        let sent = self.http.open(entry, parts);
+        let sent = self.http.call_stream(entry, parts);
         let opened = tokio::time::timeout(HEAD_WAIT, sent).await;
         match opened {
             Err(_) => Attempt::Again("no answer began".to_owned()),
@@ -249,7 +249,7 @@
     let mut next = 0;
     let mut first_at: Option<Duration> = None;
     loop {
-        let line = match stream.line().await {
+        let line = match stream.next_line().await {
             Ok(Some(line)) => line,
             Ok(None) => return Attempt::Again("the stream ended early".to_owned()),
             Err(e) => return Attempt::Again(e.to_string()),
@@ -285,7 +285,7 @@
         let cause = format!("{tokens} of {max_tokens} tokens came");
         return Attempt::Over(Outcome::Lost { cause });
     }
-    while let Ok(Some(line)) = stream.line().await {
+    while let Ok(Some(line)) = stream.next_line().await {
         let rest = String::from_utf8_lossy(&line).into_owned();
         if rest.starts_with("data: {") {
             return Attempt::Over(Outcome::Twice { found: rest });
--- a/crates/bulrushusher_standin/src/engine/server.rs
+++ b/crates/bulrushusher_standin/src/engine/server.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bulrushusher_http::{
-    HttpClient, Served, get_route, json_reply, json_status, post_route, reject_json, serve,
+    HttpClient, HttpServer, get_route, json_reply, json_status, post_route, reject_json, serve,
     stream_reply,
 };
 use tokio::sync::mpsc;
@@ -36,7 +36,7 @@
     /// Where it listens.
     pub addr: SocketAddr,
     state: Arc<EngineState>,
-    served: Served,
+    served: HttpServer,
     tasks: Vec<JoinHandle<()>>,
 }
 
--- a/crates/bulrushusher_standin/src/main.rs
+++ b/crates/bulrushusher_standin/src/main.rs
@@ -68,7 +68,7 @@
     let service = PlainService::start(cfg.service, cfg.plain)?;
     log::info!("standin: store on {}, prefill engine on {}", store.addr, prefill.addr);
     log::info!("standin: decode engine on {}, service on {}", decode.addr, service.addr);
-    bulrushusher_http::terminated().await?;
+    bulrushusher_http::shutdown_signal().await?;
     log::info!("standin: stopping");
     tokio::join!(service.stop(), decode.stop(), prefill.stop(), store.stop());
     Ok(())
--- a/crates/bulrushusher_standin/src/relay.rs
+++ b/crates/bulrushusher_standin/src/relay.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use bulrushusher_http::{bind, nodelay};
+use bulrushusher_http::{bind, connect_nodelay};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -106,7 +106,7 @@
     fault: watch::Receiver<RelayFault>,
     delay: Arc<AtomicU64>,
 ) {
-    let Ok(far) = nodelay(target).await else { return };
+    let Ok(far) = connect_nodelay(target).await else { return };
     let (near_rx, near_tx) = near.into_split();
     let (far_rx, far_tx) = far.into_split();
     let there = copy(near_rx, far_tx, Direction::ToTarget, fault.clone(), &delay);
--- a/crates/bulrushusher_standin/src/service.rs
+++ b/crates/bulrushusher_standin/src/service.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bulrushusher_http::{Served, get_route, json_reply, serve};
+use bulrushusher_http::{HttpServer, get_route, json_reply, serve};
 use bulrushusher_time::Millis;
 use bytes::Bytes;
 use parking_lot::Mutex;
@@ -67,7 +67,7 @@
     /// Where it listens.
     pub addr: SocketAddr,
     state: Arc<ServiceState>,
-    served: Served,
+    served: HttpServer,
 }
 
 impl PlainService {
--- a/crates/bulrushusher_standin/src/store.rs
+++ b/crates/bulrushusher_standin/src/store.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use bulrushusher_http::{
-    Served, get_route, json_reply, json_status, post_route, reject_json, serve,
+    HttpServer, get_route, json_reply, json_status, post_route, reject_json, serve,
 };
 use bulrushusher_time::Millis;
 use parking_lot::Mutex;
@@ -128,7 +128,7 @@
     /// Where it listens.
     pub addr: SocketAddr,
     state: Arc<StoreState>,
-    served: Served,
+    served: HttpServer,
 }
 
 impl Store {
