--- a/crates/bulrushusher_entry/src/agent_view.rs
+++ b/crates/bulrushusher_entry/src/agent_view.rs
@@ -45,7 +45,7 @@
     views: &mut HashMap<EndpointName, View>,
 ) {
     let (now, horizon) = (shared.clock.now(), shared.cfg.horizon);
-    for (service, list) in configuration.snapshot.lists() {
+    for (service, list) in configuration.snapshot.list_revisions() {
         let lacks = |endpoint: &&Endpoint| {
             views.get(&endpoint.name).is_none_or(|view| view.revision < list.revision)
         };
--- a/crates/bulrushusher_entry/src/configuration.rs
+++ b/crates/bulrushusher_entry/src/configuration.rs
@@ -73,7 +73,7 @@
     }
 
     fn departed(&self, service: &ServiceName, now: Millis, horizon: Millis) -> Vec<&Endpoint> {
-        let recent = self.snapshot.departed().filter(|(_, at)| now.since(*at) <= horizon);
+        let recent = self.snapshot.removed_endpoints().filter(|(_, at)| now.since(*at) <= horizon);
         let all = recent.map(|(endpoint, _)| endpoint);
         all.filter(|endpoint| endpoint.service == *service).collect()
     }
@@ -103,7 +103,9 @@
 
     /// An endpoint of that name, present or departed.
     pub(crate) fn known_endpoint(&self, name: &EndpointName) -> Option<Endpoint> {
-        self.snapshot.known_endpoint(name.as_str()).map(|(_, endpoint)| endpoint.clone())
+        self.snapshot
+            .endpoint_including_removed(name.as_str())
+            .map(|(_, endpoint)| endpoint.clone())
     }
 
     /// A class by name, of a closing that is open for the service.
@@ -157,12 +159,12 @@
     }
     if changed > 1 {
         // The lists in between were never in force here; others may have seen them.
-        snapshot.note_gap();
+        snapshot.reset_previous_revisions();
     }
     let now = shared.clock.now();
     let mut lists_learned = held.lists_learned.clone();
     let mut list_changed = false;
-    for (service, list) in snapshot.lists() {
+    for (service, list) in snapshot.list_revisions() {
         if list.revision > held.snapshot.list_revision(service).revision {
             lists_learned.insert(service.clone(), now);
             list_changed = true;
--- a/crates/bulrushusher_entry/src/operator.rs
+++ b/crates/bulrushusher_entry/src/operator.rs
@@ -4,7 +4,7 @@
 
 use bulrushusher_operator::v1::operator_server::Operator;
 use bulrushusher_operator::{convert, v1};
-use bulrushusher_store::{Kind, PutOutcome, StoreError, StoredObject};
+use bulrushusher_store::{ObjectKind, PutOutcome, StoreError, StoredObject};
 use serde::Serialize;
 use tonic::{Request, Response, Status};
 
@@ -28,7 +28,7 @@
     /// Writes an object at the expected version and brings it into force here.
     async fn put<T: Serialize>(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         name: &str,
         expected_version: u64,
         value: &T,
@@ -48,7 +48,7 @@
         }
     }
 
-    async fn delete(&self, kind: Kind, req: v1::DeleteRequest) -> Reply<v1::PutReply> {
+    async fn delete(&self, kind: ObjectKind, req: v1::DeleteRequest) -> Reply<v1::PutReply> {
         if req.expected_version == 0 {
             return Err(Status::invalid_argument("expected_version is 0; give the version seen"));
         }
@@ -58,10 +58,10 @@
 
 fn store_status(e: StoreError) -> Status {
     match e {
-        StoreError::Down { .. } | StoreError::OutcomeUnknown { .. } => {
+        StoreError::Unavailable { .. } | StoreError::OutcomeUnknown { .. } => {
             Status::unavailable(e.to_string())
         }
-        StoreError::Answer { .. } => Status::internal(e.to_string()),
+        StoreError::InvalidResponse { .. } => Status::internal(e.to_string()),
     }
 }
 
@@ -79,7 +79,7 @@
     Status::invalid_argument(e.to_string())
 }
 
-fn not_found(kind: Kind, name: &str) -> Status {
+fn not_found(kind: ObjectKind, name: &str) -> Status {
     Status::not_found(format!("{kind} {name} is not there; list them to see the names"))
 }
 
@@ -93,14 +93,14 @@
         let req = req.into_inner();
         let closing = req.closing.ok_or_else(|| missing("closing"))?;
         let closing = convert::closing_from(closing).map_err(invalid)?;
-        self.put(Kind::Closing, closing.name.as_str(), req.expected_version, &closing).await
+        self.put(ObjectKind::Closing, closing.name.as_str(), req.expected_version, &closing).await
     }
 
     async fn get_closing(&self, req: Request<v1::GetRequest>) -> Reply<v1::Closing> {
         let name = req.into_inner().name;
         let cfg = self.shared.configuration.load();
         let found = cfg.snapshot.closing(&name);
-        let (version, closing) = found.ok_or_else(|| not_found(Kind::Closing, &name))?;
+        let (version, closing) = found.ok_or_else(|| not_found(ObjectKind::Closing, &name))?;
         Ok(Response::new(convert::closing_to(closing, version)))
     }
 
@@ -112,7 +112,7 @@
     }
 
     async fn delete_closing(&self, req: Request<v1::DeleteRequest>) -> Reply<v1::PutReply> {
-        self.delete(Kind::Closing, req.into_inner()).await
+        self.delete(ObjectKind::Closing, req.into_inner()).await
     }
 
     async fn put_endpoint(&self, req: Request<v1::PutEndpointRequest>) -> Reply<v1::PutReply> {
@@ -122,18 +122,18 @@
         let name = endpoint.name.as_str();
         // A name that was taken out can be created again.
         let cfg = self.shared.configuration.load_full();
-        let expected_version = match cfg.snapshot.known_endpoint(name) {
+        let expected_version = match cfg.snapshot.endpoint_including_removed(name) {
             Some((version, held)) if held.removed.is_some() && req.expected_version == 0 => version,
             Some(_) | None => req.expected_version,
         };
-        self.put(Kind::Endpoint, name, expected_version, &endpoint).await
+        self.put(ObjectKind::Endpoint, name, expected_version, &endpoint).await
     }
 
     async fn get_endpoint(&self, req: Request<v1::GetRequest>) -> Reply<v1::Endpoint> {
         let name = req.into_inner().name;
         let cfg = self.shared.configuration.load();
         let found = cfg.snapshot.endpoint(&name);
-        let (version, endpoint) = found.ok_or_else(|| not_found(Kind::Endpoint, &name))?;
+        let (version, endpoint) = found.ok_or_else(|| not_found(ObjectKind::Endpoint, &name))?;
         Ok(Response::new(convert::endpoint_to(endpoint, version)))
     }
 
@@ -150,33 +150,33 @@
         let req = req.into_inner();
         let cfg = self.shared.configuration.load_full();
         let found = cfg.snapshot.endpoint(&req.name);
-        let (_, held) = found.ok_or_else(|| not_found(Kind::Endpoint, &req.name))?;
+        let (_, held) = found.ok_or_else(|| not_found(ObjectKind::Endpoint, &req.name))?;
         let removed = Some(self.shared.clock.now());
         let endpoint = bulrushusher_world::Endpoint { leaving: true, removed, ..held.clone() };
-        self.put(Kind::Endpoint, &req.name, req.expected_version, &endpoint).await
+        self.put(ObjectKind::Endpoint, &req.name, req.expected_version, &endpoint).await
     }
 
     async fn drain_endpoint(&self, req: Request<v1::DrainRequest>) -> Reply<v1::PutReply> {
         let req = req.into_inner();
         let cfg = self.shared.configuration.load_full();
         let found = cfg.snapshot.endpoint(&req.name);
-        let (version, held) = found.ok_or_else(|| not_found(Kind::Endpoint, &req.name))?;
+        let (version, held) = found.ok_or_else(|| not_found(ObjectKind::Endpoint, &req.name))?;
         let endpoint = bulrushusher_world::Endpoint { leaving: req.drain, ..held.clone() };
-        self.put(Kind::Endpoint, &req.name, version, &endpoint).await
+        self.put(ObjectKind::Endpoint, &req.name, version, &endpoint).await
     }
 
     async fn put_account(&self, req: Request<v1::PutAccountRequest>) -> Reply<v1::PutReply> {
         let req = req.into_inner();
         let account = req.account.ok_or_else(|| missing("account"))?;
         let account = convert::account_from(account).map_err(invalid)?;
-        self.put(Kind::Account, account.name.as_str(), req.expected_version, &account).await
+        self.put(ObjectKind::Account, account.name.as_str(), req.expected_version, &account).await
     }
 
     async fn get_account(&self, req: Request<v1::GetRequest>) -> Reply<v1::Account> {
         let name = req.into_inner().name;
         let cfg = self.shared.configuration.load();
         let found = cfg.snapshot.account(&name);
-        let (version, account) = found.ok_or_else(|| not_found(Kind::Account, &name))?;
+        let (version, account) = found.ok_or_else(|| not_found(ObjectKind::Account, &name))?;
         Ok(Response::new(convert::account_to(account, version)))
     }
 
@@ -188,7 +188,7 @@
     }
 
     async fn delete_account(&self, req: Request<v1::DeleteRequest>) -> Reply<v1::PutReply> {
-        self.delete(Kind::Account, req.into_inner()).await
+        self.delete(ObjectKind::Account, req.into_inner()).await
     }
 
     async fn status(&self, _: Request<v1::StatusRequest>) -> Reply<v1::StatusReply> {
--- a/crates/bulrushusher_store/src/client.rs
+++ b/crates/bulrushusher_store/src/client.rs
@@ -1,4 +1,4 @@
-//! The client.
+//! HTTP client of the object store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,42 +14,46 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 const WATCH_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Why a call to the store gave no answer.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, Display, Error, PartialEq)]
 pub enum StoreError {
-    /// The store does not answer; nothing was written.
-    #[display("the store does not answer; nothing was changed, try again later ({cause})")]
-    Down {
-        /// What went wrong.
+    /// The store is unavailable; nothing was written.
+    #[display("the store is unavailable; nothing was changed, try again later ({cause})")]
+    Unavailable {
+        /// The failure of the HTTP call.
         cause: HttpError,
     },
-    /// A write may have taken effect, and the store cannot be asked.
-    #[display("the store stopped answering; read the object back before trying again ({cause})")]
+    /// The reply to a write was lost, and reading the object back did not show whether the write
+    /// took effect.
+    #[display(
+        "no reply from the store, the write may have taken effect; read the object back before \
+         trying again ({cause})"
+    )]
     OutcomeUnknown {
-        /// What went wrong.
+        /// The failure of the HTTP call.
         cause: HttpError,
     },
-    /// The store's answer was not understood.
-    #[display("the store's answer was not understood ({cause})")]
-    Answer {
-        /// What was wrong.
+    /// The body of a conflict response could not be decoded.
+    #[display("the store sent an invalid response; check its version ({cause})")]
+    InvalidResponse {
+        /// The decoding error.
         cause: String,
     },
 }
 
-/// What became of a conditional write.
+/// Result of a conditional write.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PutOutcome {
-    /// It took effect.
+    /// The write took effect; the object as stored.
     Done(StoredObject),
-    /// Another version is held (`None`: no such object); nothing was changed.
+    /// The stored object has another version (`None`: there is no object); nothing was changed.
     Conflict(Option<StoredObject>),
 }
 
-/// Calls made so far, by kind.
+/// Counts of calls made, by kind.
 #[derive(Debug, Default)]
 pub struct StoreCalls {
-    /// Get and list.
+    /// Gets and lists.
     pub reads: AtomicU64,
     /// Puts.
     pub writes: AtomicU64,
@@ -87,7 +91,7 @@
     objects: Vec<StoredObject>,
 }
 
-/// The one way to the store. Cheap to clone.
+/// Client of the object store. Cheap to clone; clones share the connection pool and counters.
 #[derive(Clone, Debug)]
 pub struct StoreClient {
     store: SocketAddr,
@@ -96,59 +100,64 @@
 }
 
 impl StoreClient {
-    /// A client of the store at `store`.
+    /// Creates a client of the store at address `store`.
     pub fn new(store: SocketAddr) -> StoreClient {
         StoreClient { store, http: HttpClient::new(), calls: Arc::default() }
     }
 
-    /// Calls made so far.
+    /// Counts of calls made by this client and its clones.
     pub fn calls(&self) -> &StoreCalls {
         &self.calls
     }
 
-    /// Every object, with the store's revision.
+    /// Reads all objects, with the store's revision.
     ///
     /// # Errors
-    /// [`StoreError::Down`] when the store does not answer.
+    /// [`StoreError::Unavailable`] when the call fails.
     pub async fn list(&self) -> Result<(u64, Vec<StoredObject>), StoreError> {
         self.calls.reads.fetch_add(1, Ordering::Relaxed);
         let call = ListCall { prefix: "" };
         let listing: Listing =
-            self.http.post(self.store, "/list", &call, CALL_TIMEOUT).await.map_err(down)?;
+            self.http.post(self.store, "/list", &call, CALL_TIMEOUT).await.map_err(unavailable)?;
         Ok((listing.revision, listing.objects))
     }
 
-    /// One object; `None` when it was never written.
+    /// Reads one object; `None` when it was never written.
     ///
     /// # Errors
-    /// [`StoreError::Down`] when the store does not answer.
+    /// [`StoreError::Unavailable`] when the call fails.
     pub async fn get(&self, key: &str) -> Result<Option<StoredObject>, StoreError> {
         self.calls.reads.fetch_add(1, Ordering::Relaxed);
         match self.http.post(self.store, "/get", &GetCall { key }, CALL_TIMEOUT).await {
             Ok(object) => Ok(Some(object)),
             Err(HttpError::Status { status: 404, .. }) => Ok(None),
-            Err(e) => Err(down(e)),
+            Err(e) => Err(unavailable(e)),
         }
     }
 
-    /// Waits for changes after a revision; empty when none came in some seconds.
+    /// Waits for changes after revision `after`; empty when there were none before the store ended
+    /// the wait.
     ///
     /// # Errors
-    /// [`StoreError::Down`] when the store does not answer.
+    /// [`StoreError::Unavailable`] when the call fails.
     pub async fn watch(&self, after: u64) -> Result<Vec<StoredObject>, StoreError> {
         self.calls.watches.fetch_add(1, Ordering::Relaxed);
         let call = WatchCall { prefix: "", after };
-        let listing: Listing =
-            self.http.post(self.store, "/watch", &call, WATCH_TIMEOUT).await.map_err(down)?;
+        let listing: Listing = self
+            .http
+            .post(self.store, "/watch", &call, WATCH_TIMEOUT)
+            .await
+            .map_err(unavailable)?;
         Ok(listing.objects)
     }
 
-    /// Writes `value` if the object has `expected_version` (0: not there yet). `mark` must be
-    /// unique to this write; a lost reply is settled by looking for it.
+    /// Writes `value` if the object has `expected_version` (0: it must not exist yet). `mark` must
+    /// be unique to this write: after a lost reply it shows whether the write took effect.
     ///
     /// # Errors
-    /// [`StoreError::Down`] when nothing was written, [`StoreError::OutcomeUnknown`] when that
-    /// cannot be told.
+    /// [`StoreError::Unavailable`] when nothing was written; [`StoreError::OutcomeUnknown`] when
+    /// the write may or may not have taken effect; [`StoreError::InvalidResponse`] when the body of
+    /// a conflict response cannot be decoded.
     pub async fn put(
         &self,
         key: &str,
@@ -160,41 +169,42 @@
         let call = PutCall { key, expected_version, mark, value };
         match self.http.post(self.store, "/put", &call, CALL_TIMEOUT).await {
             Ok(object) => Ok(PutOutcome::Done(object)),
-            Err(HttpError::Status { status: 409, body, .. }) => conflict(mark, &body),
-            Err(e @ (HttpError::Connect { .. } | HttpError::Status { .. })) => Err(down(e)),
-            Err(cause) => self.settle(key, expected_version, mark, cause).await,
+            Err(HttpError::Status { status: 409, body, .. }) => resolve_conflict(mark, &body),
+            Err(e @ (HttpError::Connect { .. } | HttpError::Status { .. })) => Err(unavailable(e)),
+            Err(cause) => self.resolve_lost_reply(key, expected_version, mark, cause).await,
         }
     }
 
-    /// Finds out whether a write whose reply was lost took effect.
-    async fn settle(
+    /// Reads the object back to find out whether a write whose reply was lost took effect.
+    async fn resolve_lost_reply(
         &self,
         key: &str,
         expected_version: u64,
         mark: &str,
         cause: HttpError,
     ) -> Result<PutOutcome, StoreError> {
-        let held = self.get(key).await;
-        match held {
+        let stored = self.get(key).await;
+        match stored {
             Ok(Some(object)) if object.mark == mark => Ok(PutOutcome::Done(object)),
             Ok(Some(object)) if object.version != expected_version => {
                 Ok(PutOutcome::Conflict(Some(object)))
             }
-            // The write may still be on its way.
+            // The write may still be in flight.
             Ok(_) | Err(_) => Err(StoreError::OutcomeUnknown { cause }),
         }
     }
 }
 
-fn conflict(mark: &str, body: &str) -> Result<PutOutcome, StoreError> {
-    let held: Option<StoredObject> =
-        serde_json::from_str(body).map_err(|e| StoreError::Answer { cause: e.to_string() })?;
-    match held {
+fn resolve_conflict(mark: &str, body: &str) -> Result<PutOutcome, StoreError> {
+    let stored: Option<StoredObject> = serde_json::from_str(body)
+        .map_err(|e| StoreError::InvalidResponse { cause: e.to_string() })?;
+    match stored {
+        // The stored version is this write itself: an earlier copy of the call took effect.
         Some(object) if object.mark == mark => Ok(PutOutcome::Done(object)),
-        held => Ok(PutOutcome::Conflict(held)),
+        stored => Ok(PutOutcome::Conflict(stored)),
     }
 }
 
-fn down(cause: HttpError) -> StoreError {
-    StoreError::Down { cause }
+fn unavailable(cause: HttpError) -> StoreError {
+    StoreError::Unavailable { cause }
 }
--- a/crates/bulrushusher_store/src/objects.rs
+++ b/crates/bulrushusher_store/src/objects.rs
@@ -1,4 +1,4 @@
-//! What the router keeps in the store, and a snapshot of it that only moves forward.
+//! The objects that the router keeps in the store, and a monotonic in-memory snapshot of them.
 
 use std::collections::BTreeMap;
 
@@ -7,9 +7,9 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// The kinds of objects the router keeps.
+/// The kinds of objects that the router stores.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
+pub enum ObjectKind {
     /// `closing/NAME`.
     #[display("closing")]
     Closing,
@@ -21,34 +21,34 @@
     Account,
 }
 
-impl Kind {
-    /// The store key of the object of that name.
+impl ObjectKind {
+    /// The store key of the object with that name.
     pub fn key(self, name: &str) -> String {
         format!("{self}/{name}")
     }
 }
 
-/// An object as the store's protocol carries it.
+/// An object in the store's wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredObject {
-    /// Its key.
+    /// Its key, `KIND/NAME`.
     pub key: String,
-    /// How often it was written.
+    /// Its version: the number of writes to it so far.
     pub version: u64,
-    /// The store's revision at its last write.
+    /// The store's revision after its last write.
     pub revision: u64,
-    /// The mark of its last writer.
+    /// The mark of its last write, unique to that write.
     pub mark: String,
-    /// Its value; `null` is a tombstone.
+    /// Its value; `null` is a tombstone of a deleted object.
     pub value: serde_json::Value,
 }
 
-/// A checked object with its version; `None` is a tombstone.
+/// A validated value with its version.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Held<T> {
-    /// How often it was written.
+pub struct Versioned<T> {
+    /// The version: the number of writes to the object so far.
     pub version: u64,
-    /// The value, unless it was deleted.
+    /// The value; `None` is a tombstone of a deleted object.
     pub value: Option<T>,
 }
 
@@ -57,12 +57,13 @@
 pub struct ListRevision {
     /// The highest revision of an endpoint object of the service.
     pub revision: u64,
-    /// The revision before, when it is certain that there was none in between; else 0.
+    /// The preceding revision of the list, when it is certain that none was missed in between;
+    /// otherwise 0.
     pub previous: u64,
 }
 
-/// The configuration that a process has in force. Versions only rise; tombstones are kept, so that
-/// an old copy of a deleted object cannot come back.
+/// The configuration that a process applies. Versions only increase; tombstones are kept, so that
+/// a stale copy of a deleted object cannot restore it.
 ///
 /// ```
 /// use bulrushusher_store::{Snapshot, StoredObject};
@@ -73,24 +74,25 @@
 /// let mut snapshot = Snapshot::default();
 /// assert!(snapshot.apply(&object(1, account.clone())).unwrap());
 /// assert!(snapshot.apply(&object(2, serde_json::Value::Null)).unwrap());
-/// assert!(!snapshot.apply(&object(1, account)).unwrap(), "an old version changes nothing");
+/// assert!(!snapshot.apply(&object(1, account)).unwrap(), "a stale version is ignored");
 /// assert_eq!(snapshot.accounts().count(), 0);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     /// The highest revision applied.
     pub revision: u64,
-    lists: BTreeMap<ServiceName, ListRevision>,
-    closings: BTreeMap<String, Held<Closing>>,
-    endpoints: BTreeMap<String, Held<Endpoint>>,
-    accounts: BTreeMap<String, Held<ClientAccount>>,
+    list_revisions: BTreeMap<ServiceName, ListRevision>,
+    closings: BTreeMap<String, Versioned<Closing>>,
+    endpoints: BTreeMap<String, Versioned<Endpoint>>,
+    accounts: BTreeMap<String, Versioned<ClientAccount>>,
 }
 
 impl Snapshot {
-    /// Applies an object; false when a version at least as high is held or the kind is not known.
+    /// Applies an object; false when the snapshot has the same or a later version of it, or its
+    /// kind is unknown.
     ///
     /// # Errors
-    /// When the value is not what its kind says; nothing is changed then.
+    /// When the value is not a valid object of its kind; the snapshot is left unchanged.
     pub fn apply(&mut self, object: &StoredObject) -> Result<bool, serde_json::Error> {
         let Some((kind, name)) = object.key.split_once('/') else { return Ok(false) };
         let changed = match kind {
@@ -110,99 +112,103 @@
         name: &str,
         object: &StoredObject,
     ) -> Result<bool, serde_json::Error> {
-        let before = self.endpoints.get(name).map_or(0, |held| held.version);
+        let previous_version = self.endpoints.get(name).map_or(0, |entry| entry.version);
         if !apply_to(&mut self.endpoints, name, object)? {
             return Ok(false);
         }
-        let held = self.endpoints.get(name).and_then(|held| held.value.as_ref());
-        let Some(service) = held.map(|endpoint| endpoint.service.clone()) else { return Ok(true) };
-        let list = self.lists.entry(service).or_default();
-        // A version left out may have been another list, which others have seen.
-        let next_in_order = object.version == before + 1 && object.revision > list.revision;
-        list.previous = if next_in_order { list.revision } else { 0 };
+        let applied = self.endpoints.get(name).and_then(|entry| entry.value.as_ref());
+        let Some(service) = applied.map(|endpoint| endpoint.service.clone()) else {
+            return Ok(true);
+        };
+        let list = self.list_revisions.entry(service).or_default();
+        // A skipped version may belong to a list revision that other entries have applied.
+        let is_successor =
+            object.version == previous_version + 1 && object.revision > list.revision;
+        list.previous = if is_successor { list.revision } else { 0 };
         list.revision = list.revision.max(object.revision);
         Ok(true)
     }
 
-    /// The revision of the endpoint list of a service; zeros for a service without endpoints.
+    /// The endpoint list revision of a service; zeros for a service that never had endpoints.
     pub fn list_revision(&self, service: &ServiceName) -> ListRevision {
-        self.lists.get(service).copied().unwrap_or_default()
+        self.list_revisions.get(service).copied().unwrap_or_default()
     }
 
-    /// Services that have or had endpoints, with the revisions of their lists.
-    pub fn lists(&self) -> impl Iterator<Item = (&ServiceName, ListRevision)> {
-        self.lists.iter().map(|(service, list)| (service, *list))
+    /// All services that have or had endpoints, with their endpoint list revisions.
+    pub fn list_revisions(&self) -> impl Iterator<Item = (&ServiceName, ListRevision)> {
+        self.list_revisions.iter().map(|(service, list)| (service, *list))
     }
 
-    /// Notes that changes may have been missed: the next list comes directly after none.
-    pub fn note_gap(&mut self) {
-        for list in self.lists.values_mut() {
+    /// Forgets the preceding revision of every endpoint list. To be called when changes may have
+    /// been missed.
+    pub fn reset_previous_revisions(&mut self) {
+        for list in self.list_revisions.values_mut() {
             list.previous = 0;
         }
     }
 
-    /// The closings in force.
+    /// All closings, with their versions.
     pub fn closings(&self) -> impl Iterator<Item = (u64, &Closing)> {
         live(&self.closings)
     }
 
-    /// The endpoints in force.
+    /// All listed endpoints, with their versions.
     pub fn endpoints(&self) -> impl Iterator<Item = (u64, &Endpoint)> {
         live(&self.endpoints).filter(|(_, endpoint)| endpoint.removed.is_none())
     }
 
-    /// Endpoints that were taken out of the list, with the time.
-    pub fn departed(&self) -> impl Iterator<Item = (&Endpoint, Millis)> {
+    /// Endpoints that were removed from the list, with the time of removal.
+    pub fn removed_endpoints(&self) -> impl Iterator<Item = (&Endpoint, Millis)> {
         live(&self.endpoints).filter_map(|(_, endpoint)| Some((endpoint, endpoint.removed?)))
     }
 
-    /// The client accounts in force.
+    /// All client accounts, with their versions.
     pub fn accounts(&self) -> impl Iterator<Item = (u64, &ClientAccount)> {
         live(&self.accounts)
     }
 
-    /// The closing of that name, with its version.
+    /// The closing with that name, and its version.
     pub fn closing(&self, name: &str) -> Option<(u64, &Closing)> {
-        held(&self.closings, name)
+        find(&self.closings, name)
     }
 
-    /// The endpoint of that name, with its version, also when it was taken out of the list.
-    pub fn known_endpoint(&self, name: &str) -> Option<(u64, &Endpoint)> {
-        held(&self.endpoints, name)
+    /// The endpoint with that name, listed or removed from the list, and its version.
+    pub fn endpoint_including_removed(&self, name: &str) -> Option<(u64, &Endpoint)> {
+        find(&self.endpoints, name)
     }
 
-    /// The endpoint of that name, with its version.
+    /// The listed endpoint with that name, and its version.
     pub fn endpoint(&self, name: &str) -> Option<(u64, &Endpoint)> {
-        self.known_endpoint(name).filter(|(_, endpoint)| endpoint.removed.is_none())
+        self.endpoint_including_removed(name).filter(|(_, endpoint)| endpoint.removed.is_none())
     }
 
-    /// The account of that name, with its version.
+    /// The client account with that name, and its version.
     pub fn account(&self, name: &str) -> Option<(u64, &ClientAccount)> {
-        held(&self.accounts, name)
+        find(&self.accounts, name)
     }
 }
 
-fn held<'a, T>(objects: &'a BTreeMap<String, Held<T>>, name: &str) -> Option<(u64, &'a T)> {
-    let held = objects.get(name)?;
-    Some((held.version, held.value.as_ref()?))
+fn find<'a, T>(objects: &'a BTreeMap<String, Versioned<T>>, name: &str) -> Option<(u64, &'a T)> {
+    let entry = objects.get(name)?;
+    Some((entry.version, entry.value.as_ref()?))
 }
 
-fn live<T>(objects: &BTreeMap<String, Held<T>>) -> impl Iterator<Item = (u64, &T)> {
-    objects.values().filter_map(|held| Some((held.version, held.value.as_ref()?)))
+fn live<T>(objects: &BTreeMap<String, Versioned<T>>) -> impl Iterator<Item = (u64, &T)> {
+    objects.values().filter_map(|entry| Some((entry.version, entry.value.as_ref()?)))
 }
 
 fn apply_to<T: serde::de::DeserializeOwned>(
-    objects: &mut BTreeMap<String, Held<T>>,
+    objects: &mut BTreeMap<String, Versioned<T>>,
     name: &str,
     object: &StoredObject,
 ) -> Result<bool, serde_json::Error> {
-    if objects.get(name).is_some_and(|held| held.version >= object.version) {
+    if objects.get(name).is_some_and(|entry| entry.version >= object.version) {
         return Ok(false);
     }
     let value = match object.value.is_null() {
         true => None,
         false => Some(serde_json::from_value(object.value.clone())?),
     };
-    objects.insert(name.to_owned(), Held { version: object.version, value });
+    objects.insert(name.to_owned(), Versioned { version: object.version, value });
     Ok(true)
 }
