--- a/crates/bulrushusher_agent/src/agent.rs
+++ b/crates/bulrushusher_agent/src/agent.rs
@@ -8,7 +8,9 @@
 use arc_swap::ArcSwap;
 use bulrushusher_http::{HttpClient, HttpServer, bind, serve};
 use bulrushusher_time::Clock;
-use bulrushusher_wire::{AgentControlClient, AgentControlServer, AgentStatus, Heartbeat, ListPush};
+use bulrushusher_wire::{
+    AgentControlClient, AgentControlServer, AgentStatus, EndpointListUpdate, Heartbeat,
+};
 use bulrushusher_world::{EndpointName, Role};
 use jsonrpsee::http_client::HttpClientBuilder;
 use jsonrpsee::server::{ServerBuilder, ServerConfig, ServerHandle};
@@ -54,7 +56,7 @@
     }
 
     /// Takes a later endpoint list. An endpoint that is not in it any more is leaving.
-    pub(crate) fn take_list(&self, push: ListPush) {
+    pub(crate) fn take_list(&self, push: EndpointListUpdate) {
         if push.service != self.cfg.service || !self.keys.set_list(push.list) {
             return;
         }
--- a/crates/bulrushusher_agent/src/control.rs
+++ b/crates/bulrushusher_agent/src/control.rs
@@ -5,8 +5,8 @@
 use bulrushusher_admission::{Refusal, ReservationId};
 use bulrushusher_once::ClaimReply;
 use bulrushusher_wire::{
-    AgentControlServer, AgentStatus, BarAnswer, BarAsk, CancelAsk, ClaimAsk, Heartbeat, ListPush,
-    ReserveAsk, ReserveReply, Reserved,
+    AgentControlServer, AgentStatus, BarRequest, BarResponse, CancelRequest, ClaimRequest,
+    EndpointListUpdate, Heartbeat, Reservation, ReserveReply, ReserveRequest,
 };
 use jsonrpsee::core::{RpcResult, async_trait};
 
@@ -17,14 +17,14 @@
 
 #[async_trait]
 impl AgentControlServer for Control {
-    async fn reserve(&self, ask: ReserveAsk) -> RpcResult<ReserveReply> {
+    async fn reserve(&self, ask: ReserveRequest) -> RpcResult<ReserveReply> {
         let shared = &self.0;
         let in_doubt = ask.key.as_ref().is_some_and(|key| shared.keys.is_in_doubt(key));
         let granted = match in_doubt {
             true => Err(Refusal::CannotVouch),
             false => shared.desk.reserve(&ask).await,
         };
-        let reserved = |grant: bulrushusher_admission::Grant| Reserved {
+        let reserved = |grant: bulrushusher_admission::Grant| Reservation {
             id: grant.id,
             incarnation: shared.incarnation,
             time_to_live: shared.cfg.gate.time_to_live,
@@ -37,19 +37,19 @@
         Ok(())
     }
 
-    async fn claim(&self, ask: ClaimAsk) -> RpcResult<ClaimReply> {
+    async fn claim(&self, ask: ClaimRequest) -> RpcResult<ClaimReply> {
         Ok(self.0.keys.claim(&ask))
     }
 
-    async fn bar(&self, asks: Vec<BarAsk>) -> RpcResult<Vec<BarAnswer>> {
+    async fn bar(&self, asks: Vec<BarRequest>) -> RpcResult<Vec<BarResponse>> {
         Ok(asks.iter().map(|ask| self.0.keys.bar(ask)).collect())
     }
 
-    async fn cancel(&self, ask: CancelAsk) -> RpcResult<bool> {
+    async fn cancel(&self, ask: CancelRequest) -> RpcResult<bool> {
         Ok(self.0.keys.give_up(&ask.key, &ask.stream))
     }
 
-    async fn set_list(&self, push: ListPush) -> RpcResult<u64> {
+    async fn set_list(&self, push: EndpointListUpdate) -> RpcResult<u64> {
         self.0.take_list(push);
         Ok(self.0.keys.revision())
     }
--- a/crates/bulrushusher_agent/src/desk.rs
+++ b/crates/bulrushusher_agent/src/desk.rs
@@ -6,7 +6,7 @@
     Ask, AskId, Gate, GateAction, GateConfig, Grant, Refusal, ReservationId,
 };
 use bulrushusher_time::{Clock, Millis};
-use bulrushusher_wire::{AgentLoad, ReserveAsk};
+use bulrushusher_wire::{AgentLoad, ReserveRequest};
 use parking_lot::Mutex;
 use tokio::sync::oneshot;
 
@@ -35,7 +35,7 @@
     }
 
     /// Waits for a place. Dropping the future withdraws the request.
-    pub(crate) async fn reserve(&self, ask: &ReserveAsk) -> Answer {
+    pub(crate) async fn reserve(&self, ask: &ReserveRequest) -> Answer {
         let (id, rx) = self.ask(ask);
         let mut waiting = Waiting { desk: self, id: Some(id) };
         let answer = rx.await.unwrap_or(Err(Refusal::Leaving));
@@ -43,7 +43,7 @@
         answer
     }
 
-    fn ask(&self, ask: &ReserveAsk) -> (AskId, oneshot::Receiver<Answer>) {
+    fn ask(&self, ask: &ReserveRequest) -> (AskId, oneshot::Receiver<Answer>) {
         let now = self.clock.now();
         let (tx, rx) = oneshot::channel();
         let mut inner = self.inner.lock();
--- a/crates/bulrushusher_agent/src/keys.rs
+++ b/crates/bulrushusher_agent/src/keys.rs
@@ -7,7 +7,9 @@
     Ballot, ClaimReply, KeyRecords, OrderReply, Ran, RecordsConfig, ServiceList, Vouch,
 };
 use bulrushusher_time::{Clock, Millis};
-use bulrushusher_wire::{BarAnswer, BarAsk, ClaimAsk, NotTaken, OpenStreamName, RunOrder};
+use bulrushusher_wire::{
+    BarRequest, BarResponse, ClaimRequest, OpenStreamId, OrderRejection, RunOrder,
+};
 use bulrushusher_world::{EndpointName, RequestKey};
 use parking_lot::Mutex;
 use tokio::sync::Notify;
@@ -53,8 +55,8 @@
     pub(crate) fn order(
         &self,
         order: &RunOrder,
-        start: impl FnOnce() -> Result<(), NotTaken>,
-    ) -> Result<Taken, NotTaken> {
+        start: impl FnOnce() -> Result<(), OrderRejection>,
+    ) -> Result<Taken, OrderRejection> {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         match inner.records.order(&order.key, order.shared_key, &order.ballot, now) {
@@ -71,13 +73,13 @@
                 Ok(Taken::Run(answer))
             }
             OrderReply::AlreadyRan(ran) => inner.answer(&order.key, ran).map(Taken::Attach),
-            OrderReply::Barred(ballot) => Err(NotTaken::Barred { ballot }),
-            OrderReply::InDoubt => Err(NotTaken::InDoubt),
-            OrderReply::TooOld => Err(NotTaken::TooOld),
+            OrderReply::Barred(ballot) => Err(OrderRejection::Barred { ballot }),
+            OrderReply::InDoubt => Err(OrderRejection::InDoubt),
+            OrderReply::TooOld => Err(OrderRejection::TooOld),
             OrderReply::TableFull => {
                 let table = "keys".to_owned();
                 let refusal = bulrushusher_admission::Refusal::TableFull { table };
-                Err(NotTaken::Refused { refusal })
+                Err(OrderRejection::Refused { refusal })
             }
         }
     }
@@ -94,7 +96,7 @@
         key: &RequestKey,
         wait: Millis,
         give_up: impl FnOnce(),
-    ) -> Result<Arc<Answer>, NotTaken> {
+    ) -> Result<Arc<Answer>, OrderRejection> {
         let end = tokio::time::Instant::now() + wait.duration();
         loop {
             let begun = self.begun.notified();
@@ -111,7 +113,7 @@
         }
         give_up();
         drop(inner);
-        Err(NotTaken::NotHere { incarnation: self.incarnation })
+        Err(OrderRejection::NotHere { incarnation: self.incarnation })
     }
 
     /// A run finished with an answer of `bytes`.
@@ -133,16 +135,16 @@
         inner.answers.remove(key);
     }
 
-    pub(crate) fn claim(&self, ask: &ClaimAsk) -> ClaimReply {
+    pub(crate) fn claim(&self, ask: &ClaimRequest) -> ClaimReply {
         let now = self.clock.now();
         self.inner.lock().records.claim(&ask.key, &ask.executor, ask.revision, now)
     }
 
-    pub(crate) fn bar(&self, ask: &BarAsk) -> BarAnswer {
+    pub(crate) fn bar(&self, ask: &BarRequest) -> BarResponse {
         let now = self.clock.now();
         let heard = self.inner.lock().records.bar(&ask.key, &ask.ballot, ask.revision, now);
         log::debug!("{LOG} key {} barred at {}: {heard:?}", ask.key, ask.ballot);
-        BarAnswer { reply: heard.reply, home: heard.home, revision: heard.revision }
+        BarResponse { reply: heard.reply, home: heard.home, revision: heard.revision }
     }
 
     /// Takes a later endpoint list; false when it is not later.
@@ -170,7 +172,7 @@
     }
 
     /// An entry still reads these streams.
-    pub(crate) fn keep_alive(&self, streams: &[OpenStreamName]) {
+    pub(crate) fn keep_alive(&self, streams: &[OpenStreamId]) {
         let inner = self.inner.lock();
         for open in streams {
             if let Some(answer) = inner.answers.get(&open.key) {
@@ -187,16 +189,16 @@
 }
 
 impl Inner {
-    fn look(&self, key: &RequestKey) -> Option<Result<Arc<Answer>, NotTaken>> {
+    fn look(&self, key: &RequestKey) -> Option<Result<Arc<Answer>, OrderRejection>> {
         let ran = self.records.look(key)?;
         Some(self.answer(key, ran))
     }
 
-    fn answer(&self, key: &RequestKey, ran: Ran) -> Result<Arc<Answer>, NotTaken> {
+    fn answer(&self, key: &RequestKey, ran: Ran) -> Result<Arc<Answer>, OrderRejection> {
         let held = self.answers.get(key).cloned();
         match (ran, held) {
             (Ran::Running | Ran::Finished, Some(answer)) => Ok(answer),
-            (ran, _) => Err(NotTaken::RanWithoutAnswer { ran }),
+            (ran, _) => Err(OrderRejection::RanWithoutAnswer { ran }),
         }
     }
 
--- a/crates/bulrushusher_agent/src/prefill.rs
+++ b/crates/bulrushusher_agent/src/prefill.rs
@@ -4,7 +4,7 @@
 
 use bulrushusher_admission::ReservationId;
 use bulrushusher_http::{HttpError, json_line};
-use bulrushusher_wire::{Frame, KvHandle, NotTaken, PrefillRun};
+use bulrushusher_wire::{Frame, KvHandle, OrderRejection, PrefillRun};
 use bytes::Bytes;
 use tokio::sync::mpsc;
 
@@ -17,7 +17,7 @@
 /// more results pile up than the link can carry away in time.
 pub(crate) async fn run(shared: Arc<Shared>, order: PrefillRun, tx: mpsc::Sender<Bytes>) {
     if let Err(refusal) = shared.desk.start(order.reservation) {
-        let refused = Frame::NotTaken(NotTaken::Refused { refusal });
+        let refused = Frame::NotTaken(OrderRejection::Refused { refusal });
         tx.send(json_line(&refused)).await.ok();
         return;
     }
--- a/crates/bulrushusher_agent/src/streams.rs
+++ b/crates/bulrushusher_agent/src/streams.rs
@@ -6,7 +6,7 @@
 use bulrushusher_admission::Refusal;
 use bulrushusher_http::{get_route, json_line, json_reply, post_route, reject_json, stream_reply};
 use bulrushusher_time::Millis;
-use bulrushusher_wire::{AttachOrder, Frame, NotTaken, PrefillRun, RunOrder};
+use bulrushusher_wire::{AttachOrder, Frame, OrderRejection, PrefillRun, RunOrder};
 use bytes::Bytes;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
@@ -52,13 +52,13 @@
     }
 }
 
-fn take(shared: &Arc<Shared>, order: RunOrder) -> Result<Arc<Answer>, NotTaken> {
+fn take(shared: &Arc<Shared>, order: RunOrder) -> Result<Arc<Answer>, OrderRejection> {
     if order.incarnation != shared.incarnation {
-        return Err(NotTaken::Refused { refusal: Refusal::NoReservation });
+        return Err(OrderRejection::Refused { refusal: Refusal::NoReservation });
     }
     let start = || {
         let started = shared.desk.start(order.reservation);
-        started.map_err(|refusal| NotTaken::Refused { refusal })
+        started.map_err(|refusal| OrderRejection::Refused { refusal })
     };
     match shared.keys.order(&order, start) {
         Ok(Taken::Run(answer)) => {
@@ -93,7 +93,7 @@
     }
 }
 
-fn refuse(not_taken: NotTaken) -> Response {
+fn refuse(not_taken: OrderRejection) -> Response {
     let (tx, rx) = mpsc::channel(1);
     tx.try_send(json_line(&Frame::NotTaken(not_taken))).ok();
     stream_reply(rx, NDJSON)
--- a/crates/bulrushusher_entry/src/agents.rs
+++ b/crates/bulrushusher_entry/src/agents.rs
@@ -10,8 +10,9 @@
 use bulrushusher_http::{HttpClient, HttpError, LineStream};
 use bulrushusher_once::ClaimReply;
 use bulrushusher_wire::{
-    AgentControlClient, AgentStatus, AttachOrder, BarAnswer, BarAsk, CancelAsk, ClaimAsk,
-    Heartbeat, ListPush, PrefillRun, ReserveAsk, ReserveReply, RunOrder,
+    AgentControlClient, AgentStatus, AttachOrder, BarRequest, BarResponse, CancelRequest,
+    ClaimRequest, EndpointListUpdate, Heartbeat, PrefillRun, ReserveReply, ReserveRequest,
+    RunOrder,
 };
 use bulrushusher_world::Endpoint;
 use jsonrpsee::http_client::{HttpClient as RpcClient, HttpClientBuilder};
@@ -119,7 +120,7 @@
     pub(crate) async fn reserve(
         &self,
         endpoint: &Endpoint,
-        ask: ReserveAsk,
+        ask: ReserveRequest,
     ) -> Option<ReserveReply> {
         let bound = ask.wait.duration() + RESERVE_SLACK;
         self.call(endpoint, bound, |rpc| async move { rpc.reserve(ask).await }).await
@@ -131,17 +132,17 @@
         self.call(endpoint, CALL_TIMEOUT, release).await;
     }
 
-    pub(crate) async fn claim(&self, endpoint: &Endpoint, ask: ClaimAsk) -> Option<ClaimReply> {
+    pub(crate) async fn claim(&self, endpoint: &Endpoint, ask: ClaimRequest) -> Option<ClaimReply> {
         self.call(endpoint, CALL_TIMEOUT, |rpc| async move { rpc.claim(ask).await }).await
     }
 
-    pub(crate) async fn bar(&self, endpoint: &Endpoint, ask: BarAsk) -> Option<BarAnswer> {
+    pub(crate) async fn bar(&self, endpoint: &Endpoint, ask: BarRequest) -> Option<BarResponse> {
         let bar = |rpc: RpcClient| async move { rpc.bar(vec![ask]).await };
         self.call(endpoint, CALL_TIMEOUT, bar).await?.into_iter().next()
     }
 
     /// Gives up a stream, insisting: engine memory hangs on it.
-    pub(crate) async fn cancel(&self, endpoint: &Endpoint, ask: CancelAsk) {
+    pub(crate) async fn cancel(&self, endpoint: &Endpoint, ask: CancelRequest) {
         const ATTEMPTS: usize = 3;
         for _ in 0..ATTEMPTS {
             let ask = ask.clone();
@@ -152,7 +153,11 @@
         }
     }
 
-    pub(crate) async fn set_list(&self, endpoint: &Endpoint, push: ListPush) -> Option<u64> {
+    pub(crate) async fn set_list(
+        &self,
+        endpoint: &Endpoint,
+        push: EndpointListUpdate,
+    ) -> Option<u64> {
         self.call(endpoint, CALL_TIMEOUT, |rpc| async move { rpc.set_list(push).await }).await
     }
 
--- a/crates/bulrushusher_entry/src/configuration.rs
+++ b/crates/bulrushusher_entry/src/configuration.rs
@@ -7,7 +7,7 @@
 use bulrushusher_once::{ListView, ServiceList};
 use bulrushusher_store::{ListRevision, Snapshot, StoredObject};
 use bulrushusher_time::Millis;
-use bulrushusher_wire::ListPush;
+use bulrushusher_wire::EndpointListUpdate;
 use bulrushusher_world::{
     ClassName, ClientAccount, ClientAccountName, DeliverableClass, Endpoint, EndpointName,
     Patience, Repeat, Role, ServiceName,
@@ -91,9 +91,14 @@
     }
 
     /// What the agents of a service must know of its list.
-    pub(crate) fn push(&self, service: &ServiceName, now: Millis, horizon: Millis) -> ListPush {
+    pub(crate) fn push(
+        &self,
+        service: &ServiceName,
+        now: Millis,
+        horizon: Millis,
+    ) -> EndpointListUpdate {
         let owned = |endpoints: Vec<&Endpoint>| endpoints.into_iter().cloned().collect();
-        ListPush {
+        EndpointListUpdate {
             service: service.clone(),
             list: self.list(service, now, horizon),
             endpoints: owned(self.present(service)),
--- a/crates/bulrushusher_entry/src/entry.rs
+++ b/crates/bulrushusher_entry/src/entry.rs
@@ -90,11 +90,15 @@
     pub(crate) fn admit(&self) -> Result<(), ApiError> {
         if self.closing.load(Ordering::SeqCst) {
             let message = "this entry shuts down";
-            return Err(ApiError::not_run(ErrorCode::ShuttingDown, message).after(ELSEWHERE));
+            return Err(
+                ApiError::not_run(ErrorCode::ShuttingDown, message).with_retry_after(ELSEWHERE)
+            );
         }
         if self.in_flight() >= self.cfg.max_in_flight {
             let message = "this entry has all the requests it can hold";
-            return Err(ApiError::not_run(ErrorCode::Overloaded, message).after(ELSEWHERE));
+            return Err(
+                ApiError::not_run(ErrorCode::Overloaded, message).with_retry_after(ELSEWHERE)
+            );
         }
         Ok(())
     }
@@ -109,7 +113,7 @@
         quotas.configure([(&account.name, Some(quota))], now);
         quotas.admit(&account.name, 1, now).map_err(|over| {
             let message = format!("client account {} is {over}", account.name);
-            ApiError::not_run(ErrorCode::AccountLimit, message).after(over.come_back)
+            ApiError::not_run(ErrorCode::AccountLimit, message).with_retry_after(over.come_back)
         })
     }
 
--- a/crates/bulrushusher_entry/src/execution.rs
+++ b/crates/bulrushusher_entry/src/execution.rs
@@ -5,7 +5,7 @@
 use bulrushusher_once::{Ballot, Ran, Settled};
 use bulrushusher_routing::RequestDigest;
 use bulrushusher_time::Millis;
-use bulrushusher_wire::{ApiError, ErrorCode, NotTaken, RunOrder, RunState, Work};
+use bulrushusher_wire::{ApiError, ErrorCode, OrderRejection, RunOrder, RunState, Work};
 use bulrushusher_world::{Endpoint, EndpointName};
 
 use crate::LOG;
@@ -174,7 +174,7 @@
             let mut reader = self.reader(&endpoint);
             let end = reader.attach(&mut open, ATTACH_WAIT).await;
             self.passed = reader.passed;
-            let not_here = matches!(end, StreamEnd::NotTaken(NotTaken::NotHere { .. }));
+            let not_here = matches!(end, StreamEnd::NotTaken(OrderRejection::NotHere { .. }));
             if not_here && ran {
                 return Err(unknown("the endpoint that ran it has forgotten it"));
             }
@@ -240,7 +240,7 @@
         let now = self.shared.clock.now();
         let Some(left) = self.shared.quarantine.lock().left(prompt, now) else { return Ok(()) };
         let message = "engines ended on this prompt each time it was run";
-        Err(ApiError::not_run(ErrorCode::Quarantined, message).after(left))
+        Err(ApiError::not_run(ErrorCode::Quarantined, message).with_retry_after(left))
     }
 
     fn note_answer(&self) {
@@ -264,25 +264,28 @@
     async fn conclude(&mut self, end: StreamEnd, ballot: &Ballot) -> Result<Step, ApiError> {
         match end {
             StreamEnd::Whole | StreamEnd::CallerGone => Ok(Step::Done),
-            StreamEnd::NothingRan | StreamEnd::NotTaken(NotTaken::Refused { .. }) => {
+            StreamEnd::NothingRan | StreamEnd::NotTaken(OrderRejection::Refused { .. }) => {
                 Ok(Step::Again)
             }
-            StreamEnd::NotTaken(NotTaken::Barred { ballot: held }) => {
+            StreamEnd::NotTaken(OrderRejection::Barred { ballot: held }) => {
                 Box::pin(self.bar(held.max(ballot.clone()))).await
             }
-            StreamEnd::NotTaken(NotTaken::InDoubt) if self.job.shared_key => {
+            StreamEnd::NotTaken(OrderRejection::InDoubt) if self.job.shared_key => {
                 Box::pin(self.bar(ballot.clone())).await
             }
-            StreamEnd::NotTaken(NotTaken::InDoubt | NotTaken::TooOld) if !self.job.shared_key => {
+            StreamEnd::NotTaken(OrderRejection::InDoubt | OrderRejection::TooOld)
+                if !self.job.shared_key =>
+            {
                 Box::pin(self.in_doubt()).await
             }
-            StreamEnd::NotTaken(NotTaken::TooOld) => Err(settle::too_old()),
-            StreamEnd::NotTaken(NotTaken::RanWithoutAnswer { ran }) => self.lost(Some(ran)).await,
+            StreamEnd::NotTaken(OrderRejection::TooOld) => Err(settle::too_old()),
+            StreamEnd::NotTaken(OrderRejection::RanWithoutAnswer { ran }) => {
+                self.lost(Some(ran)).await
+            }
             StreamEnd::Failed(ran) => self.lost(Some(ran)).await,
             StreamEnd::EngineEnded => self.lost(Some(Ran::Failed)).await,
-            StreamEnd::NotTaken(NotTaken::NotHere { .. } | NotTaken::InDoubt) | StreamEnd::Lost => {
-                self.lost(None).await
-            }
+            StreamEnd::NotTaken(OrderRejection::NotHere { .. } | OrderRejection::InDoubt)
+            | StreamEnd::Lost => self.lost(None).await,
         }
     }
 
--- a/crates/bulrushusher_entry/src/guards.rs
+++ b/crates/bulrushusher_entry/src/guards.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bulrushusher_routing::Chosen;
-use bulrushusher_wire::{CancelAsk, Heartbeat, OpenStreamName, Reserved};
+use bulrushusher_wire::{CancelRequest, Heartbeat, OpenStreamId, Reservation};
 use bulrushusher_world::{Endpoint, EndpointName, RequestKey};
 use parking_lot::Mutex;
 
@@ -14,12 +14,12 @@
 pub(crate) struct HeldPlace {
     shared: Arc<Shared>,
     pub(crate) chosen: Chosen,
-    pub(crate) reserved: Reserved,
+    pub(crate) reserved: Reservation,
     ordered: bool,
 }
 
 impl HeldPlace {
-    pub(crate) fn new(shared: &Arc<Shared>, chosen: Chosen, reserved: Reserved) -> HeldPlace {
+    pub(crate) fn new(shared: &Arc<Shared>, chosen: Chosen, reserved: Reservation) -> HeldPlace {
         shared.table.lock().sent(&chosen, shared.clock.now());
         HeldPlace { shared: Arc::clone(shared), chosen, reserved, ordered: false }
     }
@@ -68,7 +68,7 @@
     pub(crate) fn heartbeat(&self, endpoint: &EndpointName) -> Heartbeat {
         let open = self.open.lock();
         let streams = open.get(endpoint).into_iter().flatten();
-        let name = |(stream, key): (&String, &RequestKey)| OpenStreamName {
+        let name = |(stream, key): (&String, &RequestKey)| OpenStreamId {
             key: key.clone(),
             stream: stream.clone(),
         };
@@ -112,7 +112,7 @@
         }
         let shared = Arc::clone(&self.shared);
         let endpoint = self.endpoint.clone();
-        let ask = CancelAsk { key: self.key.clone(), stream: self.name.clone() };
+        let ask = CancelRequest { key: self.key.clone(), stream: self.name.clone() };
         tokio::spawn(async move { shared.agents.cancel(&endpoint, ask).await });
     }
 }
--- a/crates/bulrushusher_entry/src/place.rs
+++ b/crates/bulrushusher_entry/src/place.rs
@@ -5,7 +5,7 @@
 use bulrushusher_admission::Refusal;
 use bulrushusher_routing::{Chosen, NotPlaced, PromptRequest, ServiceRequest};
 use bulrushusher_time::Millis;
-use bulrushusher_wire::{ApiError, ErrorCode, ReserveAsk};
+use bulrushusher_wire::{ApiError, ErrorCode, ReserveRequest};
 use bulrushusher_world::{EndpointName, Patience, Role};
 
 use crate::LOG;
@@ -72,21 +72,23 @@
     pub(crate) fn into_error(self) -> ApiError {
         match self {
             NoPlace::Busy { retry_after } => {
-                ApiError::not_run(ErrorCode::Overloaded, "every place is taken").after(retry_after)
+                ApiError::not_run(ErrorCode::Overloaded, "every place is taken")
+                    .with_retry_after(retry_after)
             }
             NoPlace::OnlyGone => {
                 ApiError::not_run(ErrorCode::NoEndpoint, "the key's endpoint does not answer")
-                    .after(NO_ENDPOINT_RETRY)
+                    .with_retry_after(NO_ENDPOINT_RETRY)
             }
             NoPlace::NoneVouches => {
                 ApiError::not_run(ErrorCode::NoEndpoint, "no endpoint can vouch for the key")
-                    .after(NO_ENDPOINT_RETRY)
+                    .with_retry_after(NO_ENDPOINT_RETRY)
             }
             NoPlace::NotPlaced(e @ NotPlaced::UnknownService { .. }) => {
                 ApiError::not_run(ErrorCode::UnknownService, e.to_string())
             }
             NoPlace::NotPlaced(e @ NotPlaced::NoneAvailable { .. }) => {
-                ApiError::not_run(ErrorCode::NoEndpoint, e.to_string()).after(NO_ENDPOINT_RETRY)
+                ApiError::not_run(ErrorCode::NoEndpoint, e.to_string())
+                    .with_retry_after(NO_ENDPOINT_RETRY)
             }
         }
     }
@@ -119,7 +121,7 @@
             }
         };
         let wait = want.until.since(now).min(waits.step);
-        let ask = ReserveAsk {
+        let ask = ReserveRequest {
             entry: shared.cfg.name.clone(),
             start_within: want.job.start_within(now),
             late_within: want.job.late_within(now),
--- a/crates/bulrushusher_entry/src/prompt_task.rs
+++ b/crates/bulrushusher_entry/src/prompt_task.rs
@@ -75,7 +75,7 @@
         return Ok(());
     }
     let message = "endpoints keep failing and the retry budget is used up";
-    Err(ApiError::not_run(ErrorCode::Overloaded, message).after(COME_BACK))
+    Err(ApiError::not_run(ErrorCode::Overloaded, message).with_retry_after(COME_BACK))
 }
 
 async fn attempt(
--- a/crates/bulrushusher_entry/src/request.rs
+++ b/crates/bulrushusher_entry/src/request.rs
@@ -53,7 +53,7 @@
                 ErrorCode::Deadline,
                 "the deadline came before the request could run",
             )
-            .after(Millis(1_000))),
+            .with_retry_after(Millis(1_000))),
             left => Ok(left),
         }
     }
--- a/crates/bulrushusher_entry/src/run_stream.rs
+++ b/crates/bulrushusher_entry/src/run_stream.rs
@@ -7,7 +7,7 @@
 use bulrushusher_http::{HttpError, LineStream};
 use bulrushusher_once::Ran;
 use bulrushusher_time::Millis;
-use bulrushusher_wire::{ApiError, AttachOrder, Frame, NotTaken, RunOrder};
+use bulrushusher_wire::{ApiError, AttachOrder, Frame, OrderRejection, RunOrder};
 use bulrushusher_world::{Endpoint, RequestKey};
 use bytes::Bytes;
 use tokio::sync::mpsc;
@@ -66,7 +66,7 @@
     /// The whole answer was passed on.
     Whole,
     /// The agent did not take the order.
-    NotTaken(NotTaken),
+    NotTaken(OrderRejection),
     /// Nothing ran: the KV cache or the service was gone.
     NothingRan,
     /// It ran and there is no whole answer.
@@ -124,12 +124,12 @@
         while self.shared.clock.now() < until && !self.tx.is_closed() {
             if let Ok(stream) = self.connect(open, Millis(0), Some(order.reservation)).await {
                 match self.read(stream, open).await {
-                    StreamEnd::NotTaken(NotTaken::NotHere { incarnation })
+                    StreamEnd::NotTaken(OrderRejection::NotHere { incarnation })
                         if incarnation == order.incarnation =>
                     {
                         return StreamEnd::NothingRan;
                     }
-                    StreamEnd::NotTaken(NotTaken::NotHere { .. }) => return StreamEnd::Lost,
+                    StreamEnd::NotTaken(OrderRejection::NotHere { .. }) => return StreamEnd::Lost,
                     end => return end,
                 }
             }
@@ -185,7 +185,9 @@
             let had = self.passed;
             if let Ok(stream) = self.connect(open, RESUME_WAIT, None).await {
                 match self.pass_on(stream).await {
-                    Interrupted::Ended(StreamEnd::NotTaken(NotTaken::NotHere { incarnation })) => {
+                    Interrupted::Ended(StreamEnd::NotTaken(OrderRejection::NotHere {
+                        incarnation,
+                    })) => {
                         if self.incarnation.is_some_and(|known| known != incarnation) {
                             return StreamEnd::Lost;
                         }
--- a/crates/bulrushusher_entry/src/settle.rs
+++ b/crates/bulrushusher_entry/src/settle.rs
@@ -6,7 +6,7 @@
     Ballot, Heard, ListView, Ran, SettleAction, SettleAsk, Settled, Settlement, Unsettled,
 };
 use bulrushusher_time::Millis;
-use bulrushusher_wire::{ApiError, BarAsk, ClaimAsk, ErrorCode, RunState};
+use bulrushusher_wire::{ApiError, BarRequest, ClaimRequest, ErrorCode, RunState};
 use bulrushusher_world::EndpointName;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 
@@ -62,7 +62,7 @@
     loop {
         match settlement.action() {
             SettleAction::Claim { home, executor, revision } => {
-                let ask = ClaimAsk { key: job.key.clone(), executor, revision };
+                let ask = ClaimRequest { key: job.key.clone(), executor, revision };
                 let home = shared.configuration.load().known_endpoint(&home);
                 let reply = match home {
                     Some(home) => shared.agents.claim(&home, ask).await,
@@ -71,7 +71,7 @@
                 settlement.claimed(reply);
             }
             SettleAction::Bar { agents, ballot, revision } => {
-                let ask = BarAsk { key: job.key.clone(), ballot, revision };
+                let ask = BarRequest { key: job.key.clone(), ballot, revision };
                 round(shared, &agents, &ask, &mut settlement).await;
                 log::info!(
                     "{LOG} key {} barred at {}: {:?}",
@@ -95,7 +95,7 @@
 async fn round(
     shared: &Arc<Shared>,
     agents: &[EndpointName],
-    ask: &BarAsk,
+    ask: &BarRequest,
     settlement: &mut Settlement,
 ) {
     let configuration = shared.configuration.load_full();
--- a/crates/bulrushusher_wire/src/api_error.rs
+++ b/crates/bulrushusher_wire/src/api_error.rs
@@ -1,20 +1,20 @@
-//! Errors as callers see them: a stable code, whether the request was run, and the remedy.
+//! Errors sent to callers: a stable code, whether the request was executed, and the remedy.
 
 use bulrushusher_time::Millis;
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// What a caller may believe about its request.
+/// Whether a request was executed, as guaranteed to its caller.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// It certainly did not run, and will not.
+    /// It was not executed and will not be.
     #[display("not_run")]
     NotRun,
-    /// It ran once, and the answer cannot be had any more.
+    /// It was executed once, and its response is no longer available.
     #[display("ran")]
     Ran,
-    /// It may have run once; it will not run again.
+    /// It may have been executed once; it will not be executed again.
     #[display("outcome_unknown")]
     OutcomeUnknown,
 }
@@ -22,7 +22,7 @@
 /// The stable code of an error.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-#[expect(missing_docs, reason = "each code is told by its status and remedy below")]
+#[expect(missing_docs, reason = "the codes are described by `status` and `remedy`")]
 pub enum ErrorCode {
     #[display("bad_json")]
     BadJson,
@@ -63,7 +63,7 @@
 }
 
 impl ErrorCode {
-    /// The HTTP status that goes with the code.
+    /// The HTTP status sent with the code.
     pub fn status(self) -> u16 {
         match self {
             ErrorCode::BadJson | ErrorCode::BadHeader | ErrorCode::UnknownClass => 400,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// What the caller can do.
+    /// What the caller can do about the error.
     pub fn remedy(self) -> &'static str {
         match self {
             ErrorCode::BadJson => "send a JSON body as the README shows",
@@ -106,34 +106,34 @@
     }
 }
 
-/// An error on its way to a caller.
+/// An error to be sent to a caller.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{code}: {message}")]
 pub struct ApiError {
-    /// Its code.
+    /// The error code.
     pub code: ErrorCode,
-    /// What the caller may believe.
+    /// Whether the request was executed.
     pub run: RunState,
     /// What happened.
     pub message: String,
-    /// When to come back, where that makes sense.
+    /// How long the caller should wait before retrying, if a retry can succeed.
     pub retry_after: Option<Millis>,
 }
 
 impl ApiError {
-    /// An error about a request that did not run.
+    /// Creates an error for a request that was not executed.
     pub fn not_run(code: ErrorCode, message: impl Into<String>) -> ApiError {
         ApiError { code, run: RunState::NotRun, message: message.into(), retry_after: None }
     }
 
-    /// The same error with a time to come back.
+    /// Sets the time that the caller should wait before retrying.
     #[must_use]
-    pub fn after(mut self, wait: Millis) -> ApiError {
+    pub fn with_retry_after(mut self, wait: Millis) -> ApiError {
         self.retry_after = Some(wait);
         self
     }
 
-    /// The body that the caller gets.
+    /// The JSON body sent to the caller.
     ///
     /// ```
     /// use bulrushusher_wire::{ApiError, ErrorCode};
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Whole seconds for the `Retry-After` header, rounded up; `None` when there is none to give.
+    /// Value of the `Retry-After` header in seconds, rounded up to at least 1; `None` without one.
     pub fn retry_after_seconds(&self) -> Option<u64> {
         self.retry_after.map(|wait| wait.0.div_ceil(1000).max(1))
     }
@@ -165,7 +165,7 @@
     pub error: ErrorDetail,
 }
 
-/// See [`ApiError`] for the fields.
+/// The content of [`ErrorBody`]; see [`ApiError`] for the fields.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[expect(missing_docs, reason = "the fields are those of ApiError")]
 pub struct ErrorDetail {
--- a/crates/bulrushusher_wire/src/control.rs
+++ b/crates/bulrushusher_wire/src/control.rs
@@ -8,172 +8,174 @@
 use jsonrpsee::proc_macros::rpc;
 use serde::{Deserialize, Serialize};
 
-/// Load of an agent, sent along with its replies.
+/// Load of an agent, included in its replies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentLoad {
-    /// Places held.
+    /// Slots in use.
     pub used: u32,
-    /// Places in all.
+    /// Slots in total.
     pub places: u32,
-    /// Requests that wait for a place.
+    /// Requests queued for a slot.
     pub waiting: u32,
-    /// Expected wait of a request that comes now.
+    /// Expected queueing time of a request that arrives now.
     pub expected_wait: Millis,
 }
 
-/// Asks for a place.
+/// Request to reserve a slot.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ReserveAsk {
-    /// Who asks, for logs.
+pub struct ReserveRequest {
+    /// The entry that asks, for logs.
     pub entry: EntryName,
-    /// The work should start within this time from now to meet its target; 0 when it is missed.
+    /// Time from now within which the work must start to meet its target; 0 when the target is
+    /// already missed.
     pub start_within: Millis,
-    /// The work should start within this time from now even when its target is missed.
+    /// Time from now within which the work should start even when its target is missed.
     pub late_within: Millis,
-    /// How long the asker waits for a place.
+    /// How long the entry waits for a slot.
     pub wait: Millis,
-    /// The key that shall run there at the ballot of its home; `None` for a prefill, and for a key
+    /// The key to be executed there at the ballot of its home; `None` for a prefill, and for a key
     /// that was barred.
     pub key: Option<RequestKey>,
 }
 
-/// A place held.
+/// A reserved slot.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Reserved {
-    /// Which reservation to name in the order.
+pub struct Reservation {
+    /// The reservation id to give in the order.
     pub id: ReservationId,
-    /// Which life of the agent granted it.
+    /// Incarnation of the agent that granted it; changes with every restart.
     pub incarnation: u64,
-    /// How long it is held for its order, on the agent's clock.
+    /// How long the agent holds it before the order must arrive, by the agent's clock.
     pub time_to_live: Millis,
 }
 
-/// The answer to [`ReserveAsk`].
+/// Reply to [`ReserveRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReserveReply {
-    /// The place, or why there is none.
-    pub outcome: Result<Reserved, Refusal>,
+    /// The reservation, or the reason for the refusal.
+    pub outcome: Result<Reservation, Refusal>,
     /// The agent's load after this call.
     pub load: AgentLoad,
 }
 
-/// Asks a key's home to give the key to an executor.
+/// Request to a key's home endpoint to assign the key to an executor.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// The key.
     pub key: RequestKey,
-    /// The endpoint that shall run it.
+    /// The endpoint that is to execute it.
     pub executor: EndpointName,
-    /// The entry's revision of the endpoint list.
+    /// The endpoint list revision that the entry uses.
     pub revision: u64,
 }
 
-/// Asks an agent to refuse lower ballots for a key.
+/// Request to an agent to reject lower ballots for a key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct BarAsk {
+pub struct BarRequest {
     /// The key.
     pub key: RequestKey,
     /// The ballot.
     pub ballot: Ballot,
-    /// The entry's revision of the endpoint list.
+    /// The endpoint list revision that the entry uses.
     pub revision: u64,
 }
 
-/// The answer to [`BarAsk`].
+/// Response to [`BarRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct BarAnswer {
-    /// What the agent knows as an executor.
+pub struct BarResponse {
+    /// The agent's state of the key as an executor.
     pub reply: BarReply,
-    /// What the agent knows as a home.
+    /// The agent's state of the key as the key's home.
     pub home: HomeBar,
-    /// The highest revision of the endpoint list that the agent holds or heard of in a bar.
+    /// The highest endpoint list revision that the agent has applied or received in a bar request.
     pub revision: u64,
 }
 
-/// Tells an agent that an entry no longer wants a key's answer.
+/// Notifies an agent that an entry no longer reads the response of a key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct CancelAsk {
+pub struct CancelRequest {
     /// The key.
     pub key: RequestKey,
-    /// The stream that is given up, as named in its order.
+    /// The abandoned stream, as named in its order.
     pub stream: String,
 }
 
-/// The endpoint list of a service in force, sent by an entry to that service's agents.
+/// The current endpoint list of a service, sent by an entry to the service's agents.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ListPush {
+pub struct EndpointListUpdate {
     /// The service.
     pub service: ServiceName,
-    /// The list, as far as running keys goes.
+    /// The list revision, with the endpoints that may execute keys.
     pub list: ServiceList,
-    /// The service's endpoints, of every role.
+    /// The service's endpoints, of all roles.
     pub endpoints: Vec<Endpoint>,
-    /// Endpoints taken out of the list within the retry horizon.
+    /// Endpoints that were removed from the list within the retry horizon.
     pub departed: Vec<Endpoint>,
 }
 
-/// A stream that an entry reads at an agent.
+/// Identifies a stream that an entry reads from an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OpenStreamName {
-    /// The key whose answer it carries.
+pub struct OpenStreamId {
+    /// The key whose response it carries.
     pub key: RequestKey,
-    /// Its name, as in the order that opened it.
+    /// The stream name given in the order that opened it.
     pub stream: String,
 }
 
-/// A heartbeat of an entry: the streams that it still reads at the agent. A stream that is not
-/// named for the agent's orphan bound counts as gone, whatever its connection looks like.
+/// Heartbeat of an entry: the streams that it still reads from the agent. A stream missing from
+/// the heartbeats for longer than the agent's orphan timeout counts as abandoned, even if its
+/// connection is still open.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The streams.
-    pub streams: Vec<OpenStreamName>,
+    /// The streams being read.
+    pub streams: Vec<OpenStreamId>,
 }
 
-/// What an agent tells of itself.
+/// Status of an agent, returned by [`AgentControl::heartbeat`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AgentStatus {
-    /// Its endpoint.
+    /// The agent's endpoint.
     pub endpoint: EndpointName,
-    /// Which life of the agent answers.
+    /// The agent's incarnation; changes with every restart.
     pub incarnation: u64,
-    /// Its revision of the endpoint list.
+    /// The endpoint list revision that it uses.
     pub revision: u64,
-    /// True when it takes no new work.
+    /// True while it drains and takes no new work.
     pub leaving: bool,
-    /// Its load.
+    /// The agent's load.
     pub load: AgentLoad,
-    /// What its engine reports of its own load, late: running and waiting.
+    /// Running and waiting requests as reported by its engine; the report lags behind.
     pub engine_load: (u32, u32),
 }
 
-/// Control calls that every agent serves.
+/// JSON-RPC control calls served by every agent.
 #[rpc(server, client, namespace = "agent")]
 pub trait AgentControl {
-    /// Asks for a place; answers when it is granted or refused.
+    /// Reserves a slot; replies when it is granted or refused.
     #[method(name = "reserve")]
-    async fn reserve(&self, ask: ReserveAsk) -> RpcResult<ReserveReply>;
+    async fn reserve(&self, ask: ReserveRequest) -> RpcResult<ReserveReply>;
 
-    /// Gives a place back.
+    /// Releases a reservation.
     #[method(name = "release")]
     async fn release(&self, id: ReservationId) -> RpcResult<()>;
 
-    /// Asks the key's home to give it to an executor.
+    /// Asks this agent, as the key's home, to assign the key to an executor.
     #[method(name = "claim")]
-    async fn claim(&self, ask: ClaimAsk) -> RpcResult<ClaimReply>;
+    async fn claim(&self, ask: ClaimRequest) -> RpcResult<ClaimReply>;
 
-    /// Bars keys.
+    /// Makes the agent reject lower ballots for the given keys; one response per request, in order.
     #[method(name = "bar")]
-    async fn bar(&self, asks: Vec<BarAsk>) -> RpcResult<Vec<BarAnswer>>;
+    async fn bar(&self, asks: Vec<BarRequest>) -> RpcResult<Vec<BarResponse>>;
 
-    /// Gives up a stream; true when it was open here.
+    /// Abandons a stream; true when it was open at this agent.
     #[method(name = "cancel")]
-    async fn cancel(&self, ask: CancelAsk) -> RpcResult<bool>;
+    async fn cancel(&self, ask: CancelRequest) -> RpcResult<bool>;
 
-    /// Hands over the endpoint list; answers the revision held after it.
+    /// Sends the endpoint list; returns the revision that the agent uses afterwards.
     #[method(name = "set_list")]
-    async fn set_list(&self, push: ListPush) -> RpcResult<u64>;
+    async fn set_list(&self, push: EndpointListUpdate) -> RpcResult<u64>;
 
-    /// Takes an entry's heartbeat; tells the agent's state.
+    /// Receives an entry's heartbeat; returns the agent's status.
     #[method(name = "heartbeat")]
     async fn heartbeat(&self, beat: Heartbeat) -> RpcResult<AgentStatus>;
 }
--- a/crates/bulrushusher_wire/src/frame.rs
+++ b/crates/bulrushusher_wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! Orders and frames of the streams from an agent to an entry.
+//! Orders that open a stream from an agent to an entry, and the frames of the stream.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 /// Order to compute the KV cache of a prompt.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PrefillRun {
-    /// The place held for it.
+    /// The slot reserved for it.
     pub reservation: ReservationId,
     /// The request's key.
     pub key: RequestKey,
@@ -21,25 +21,25 @@
     pub prompt: String,
 }
 
-/// Where a KV cache is held.
+/// Location of a KV cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvHandle {
     /// The engine that holds it.
     pub engine: SocketAddr,
-    /// Its name there.
+    /// Its id at that engine.
     pub kv: u64,
 }
 
-/// A decode.
+/// A decode run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DecodeRun {
-    /// Where the KV cache is.
+    /// Location of the KV cache to import.
     pub kv: KvHandle,
-    /// Tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
 }
 
-/// A call of a plain service.
+/// An HTTP call of a plain service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CallOrder {
     /// HTTP method.
@@ -52,7 +52,7 @@
     pub body: String,
 }
 
-/// What to run.
+/// The work of a [`RunOrder`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "work", rename_all = "snake_case")]
 pub enum Work {
@@ -62,73 +62,74 @@
     Call(CallOrder),
 }
 
-/// Order to run a key, once.
+/// Order to execute the request of a key, at most once.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunOrder {
-    /// The place held for it.
+    /// The slot reserved for it.
     pub reservation: ReservationId,
-    /// Which life of the agent granted the place.
+    /// Incarnation of the agent that granted the reservation.
     pub incarnation: u64,
     /// The request's key.
     pub key: RequestKey,
-    /// True when the caller chose the key, so that others may send it too.
+    /// True when the caller chose the key, so that other requests may use it too.
     pub shared_key: bool,
-    /// The attempt's ballot.
+    /// Ballot of this attempt.
     pub ballot: Ballot,
     /// Unique name of the stream that this order opens.
     pub stream: String,
-    /// What to run.
+    /// The work to do.
     pub work: Work,
 }
 
-/// Order to attach to a key that runs or ran.
+/// Order to read the response of a key that is being executed or has been executed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AttachOrder {
     /// The request's key.
     pub key: RequestKey,
     /// Unique name of the stream that this order opens.
     pub stream: String,
-    /// The first token wanted.
+    /// Index of the first token to send.
     pub from: u32,
-    /// How long to wait for the key to begin, in milliseconds.
+    /// How long to wait for the execution to begin, in milliseconds.
     pub wait_ms: u64,
-    /// A reservation whose order may be on its way: when the key has not begun by the end of the
-    /// wait, the reservation is given up, so that a late order is refused.
+    /// A reservation whose order may be in flight: if the execution has not begun by the end of the
+    /// wait, the reservation is released, so that an order that arrives later is refused.
     pub revoke: Option<ReservationId>,
 }
 
 /// Why an order opened no stream.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "not_taken", rename_all = "snake_case")]
-pub enum NotTaken {
-    /// The gate refused it; it was not run.
+pub enum OrderRejection {
+    /// Admission control refused it; it was not executed.
     #[display("{refusal}")]
     Refused {
-        /// Why.
+        /// The reason.
         refusal: Refusal,
     },
-    /// It ran here and its answer cannot be had any more.
-    #[display("it ran here ({ran}) and its answer cannot be had")]
+    /// The key was executed here and its response is no longer available.
+    #[display("executed here ({ran}), but the response is no longer available")]
     RanWithoutAnswer {
-        /// How far it came.
+        /// How far the execution got.
         ran: Ran,
     },
-    /// Another ballot was promised; it was not run by this order.
-    #[display("ballot {ballot} was promised, not run here")]
+    /// The agent has promised another ballot; this order was not executed.
+    #[display("not executed here: ballot {ballot} is promised")]
     Barred {
-        /// The ballot.
+        /// The promised ballot.
         ballot: Ballot,
     },
-    /// The agent cannot vouch for the key; it was not run by this order.
-    #[display("this agent cannot vouch for the key, not run by this order")]
+    /// The agent has no record of the key, but its records may not reach back far enough to rule
+    /// out an earlier execution; this order was not executed.
+    #[display("order not executed: this agent's records may not cover the key")]
     InDoubt,
-    /// The key is older than the retry horizon; it was not run by this order.
-    #[display("the key is older than the retry horizon, not run by this order")]
+    /// The key is older than the retry horizon; this order was not executed.
+    #[display("order not executed: the key is older than the retry horizon")]
     TooOld,
-    /// The key did not begin here in the time to wait, as far as this life of the agent goes.
-    #[display("the key has not begun here")]
+    /// This incarnation of the agent did not begin to execute the key within the wait.
+    #[display("execution of the key has not begun here")]
     NotHere {
-        /// Which life of the agent answers.
+        /// Incarnation of the agent that replies.
         incarnation: u64,
     },
 }
@@ -137,51 +138,52 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "frame", rename_all = "snake_case")]
 pub enum Frame {
-    /// The stream lives; sent when nothing else was for a while.
+    /// Keep-alive; sent when the stream is otherwise idle.
     Beat,
     /// The KV cache is ready.
     Prefilled {
-        /// Where it is held.
+        /// Its location.
         kv: KvHandle,
-        /// Prompt tokens.
+        /// Number of prompt tokens.
         tokens: u64,
-        /// Of these, tokens that the prefix cache had.
+        /// Number of these that were prefix cache hits.
         cached: u64,
     },
-    /// The KV cache was taken over by a decode; ends a prefill stream.
+    /// The KV cache was imported by a decode engine; ends a prefill stream.
     Exported,
-    /// The KV cache was evicted unused; ends a prefill stream.
+    /// The KV cache was evicted before it was used; ends a prefill stream.
     Evicted,
-    /// Token `n`, counted from 0.
+    /// One generated token.
     Token {
-        /// Its place in the answer.
+        /// Its index in the response, from 0.
         n: u32,
         /// Its text.
         text: String,
     },
-    /// The whole answer was sent; ends a decode stream.
+    /// All tokens were sent; ends a decode stream.
     End {
-        /// Tokens in all.
+        /// Total number of tokens.
         tokens: u32,
     },
-    /// A service's answer; `len` raw bytes follow and end the stream.
+    /// The response of a service; `len` raw bytes of body follow and end the stream.
     Answer {
         /// HTTP status.
         status: u16,
         /// Content type.
         content_type: String,
-        /// Bytes that follow.
+        /// Number of bytes that follow.
         len: u64,
     },
-    /// The order was not taken; ends the stream.
-    NotTaken(NotTaken),
-    /// The KV cache was gone before the decode began; nothing ran; ends the stream.
+    /// The order was rejected; ends the stream.
+    NotTaken(OrderRejection),
+    /// The KV cache was gone before the decode began, so nothing was executed; ends the stream.
     KvGone,
-    /// The run began and was lost or cancelled; ends the stream.
+    /// The run began, then failed or was cancelled; ends the stream.
     Failed {
-        /// What happened.
+        /// The cause, for logs.
         cause: String,
-        /// True when the engine ended while it ran it: it has started again and knows nothing of it.
+        /// True when the engine process ended during the run; the restarted engine has no state of
+        /// the run.
         #[serde(default)]
         engine_ended: bool,
     },
--- a/crates/bulrushusher_wire/src/lib.rs
+++ b/crates/bulrushusher_wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! Messages between the router's own processes, and callers' typed errors.
+//! Messages between the router's processes, and the typed errors sent to callers.
 //!
-//! Control calls go over JSON-RPC ([`AgentControlClient`], [`AgentControlServer`]); streams go over
-//! HTTP bodies as one [`Frame`] a line, with raw bytes behind a frame that announces some.
+//! Control calls use JSON-RPC ([`AgentControlClient`], [`AgentControlServer`]). Streams are HTTP
+//! bodies with one JSON [`Frame`] per line; [`Frame::Answer`] is followed by raw bytes.
 
 mod api_error;
 mod control;
@@ -9,9 +9,10 @@
 
 pub use api_error::{ApiError, ErrorBody, ErrorCode, ErrorDetail, RunState};
 pub use control::{
-    AgentControlClient, AgentControlServer, AgentLoad, AgentStatus, BarAnswer, BarAsk, CancelAsk,
-    ClaimAsk, Heartbeat, ListPush, OpenStreamName, ReserveAsk, ReserveReply, Reserved,
+    AgentControlClient, AgentControlServer, AgentLoad, AgentStatus, BarRequest, BarResponse,
+    CancelRequest, ClaimRequest, EndpointListUpdate, Heartbeat, OpenStreamId, Reservation,
+    ReserveReply, ReserveRequest,
 };
 pub use frame::{
-    AttachOrder, CallOrder, DecodeRun, Frame, KvHandle, NotTaken, PrefillRun, RunOrder, Work,
+    AttachOrder, CallOrder, DecodeRun, Frame, KvHandle, OrderRejection, PrefillRun, RunOrder, Work,
 };
--- a/tools/bulrushusher_slopes/src/messages.rs
+++ b/tools/bulrushusher_slopes/src/messages.rs
@@ -4,8 +4,8 @@
 use bulrushusher_once::{Ballot, Owner, ServiceList};
 use bulrushusher_time::Millis;
 use bulrushusher_wire::{
-    AgentLoad, AgentStatus, BarAsk, ClaimAsk, Heartbeat, ListPush, OpenStreamName, ReserveAsk,
-    ReserveReply, Reserved,
+    AgentLoad, AgentStatus, BarRequest, ClaimRequest, EndpointListUpdate, Heartbeat, OpenStreamId,
+    Reservation, ReserveReply, ReserveRequest,
 };
 use bulrushusher_world::{EndpointName, EntryName, RequestKey, ServiceName};
 use serde::Serialize;
@@ -53,7 +53,7 @@
 
 fn heartbeat(streams: usize) -> f64 {
     let stream = || "tt-trnava-entry-17-1f3a5c7e9b2d4f60-123456".to_owned();
-    let streams = (0..streams).map(|_| OpenStreamName { key: key(), stream: stream() });
+    let streams = (0..streams).map(|_| OpenStreamId { key: key(), stream: stream() });
     body(&Heartbeat { streams: streams.collect() })
 }
 
@@ -73,14 +73,14 @@
 }
 
 fn reservation() -> f64 {
-    let ask = ReserveAsk {
+    let ask = ReserveRequest {
         entry: entry(),
         start_within: Millis(2_400),
         late_within: Millis(60_000),
         wait: Millis(1_000),
         key: Some(key()),
     };
-    let reserved = Reserved {
+    let reserved = Reservation {
         id: ReservationId(123_456),
         incarnation: u64::MAX / 3,
         time_to_live: Millis(2_000),
@@ -89,13 +89,13 @@
 }
 
 fn claim() -> f64 {
-    let ask = ClaimAsk { key: key(), executor: name(), revision: 123_456 };
+    let ask = ClaimRequest { key: key(), executor: name(), revision: 123_456 };
     body(&ask) + body(&bulrushusher_once::ClaimReply::Recorded)
 }
 
 fn bar(keys: usize) -> f64 {
     let owner = Owner { entry: entry(), incarnation: u64::MAX / 3, attempt: 123_456 };
-    let ask = BarAsk { key: key(), ballot: Ballot::Home.next(&owner), revision: 123_456 };
+    let ask = BarRequest { key: key(), ballot: Ballot::Home.next(&owner), revision: 123_456 };
     body(&vec![ask; keys])
 }
 
@@ -105,5 +105,5 @@
     let list =
         ServiceList { revision: 123_456, previous: 123_455, executors, departed: Vec::new() };
     let service = ServiceName::try_from("model-1").expect("a valid name");
-    body(&ListPush { service, list, endpoints, departed: Vec::new() })
+    body(&EndpointListUpdate { service, list, endpoints, departed: Vec::new() })
 }
