--- a/crates/bulrushusher_wire/src/control.rs
+++ b/crates/bulrushusher_wire/src/control.rs
@@ -131,7 +131,7 @@
     pub streams: Vec<OpenStreamId>,
 }
 
-/// Status of an agent, returned by [`AgentControl::heartbeat`].
+/// Status of an agent, returned by the `heartbeat` control call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AgentStatus {
     /// The agent's endpoint.
