--- a/crates/bulrushusher_agent/src/call.rs
+++ b/crates/bulrushusher_agent/src/call.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bulrushusher_http::{HttpError, HttpReply, RequestParts};
-use bulrushusher_once::Ran;
+use bulrushusher_once::RunStatus;
 use bulrushusher_time::Millis;
 use bulrushusher_wire::{CallOrder, RunOrder};
 
@@ -61,6 +61,6 @@
 
 fn lost(shared: &Shared, order: &RunOrder, answer: &Answer, error: &HttpError) {
     log::warn!("{LOG} the service's answer to {} was lost: {error}", order.key);
-    shared.keys.end(&order.key, Ran::Failed);
+    shared.keys.end(&order.key, RunStatus::Failed);
     answer.end(Ending::Failed { cause: error.to_string(), engine_ended: false });
 }
--- a/crates/bulrushusher_agent/src/keys.rs
+++ b/crates/bulrushusher_agent/src/keys.rs
@@ -4,7 +4,8 @@
 use std::sync::Arc;
 
 use bulrushusher_once::{
-    Ballot, ClaimReply, KeyRecords, OrderReply, Ran, RecordsConfig, ServiceList, Vouch,
+    Ballot, ClaimReply, KeyRecords, OrderReply, RecordCoverage, RecordsConfig, RunStatus,
+    ServiceList,
 };
 use bulrushusher_time::{Clock, Millis};
 use bulrushusher_wire::{BarAnswer, BarAsk, ClaimAsk, NotTaken, OpenStreamName, RunOrder};
@@ -40,9 +41,12 @@
 
 impl Keys {
     pub(crate) fn new(cfg: &AgentConfig, clock: Clock, incarnation: u64) -> Keys {
-        let vouch = Vouch { since: clock.now(), skew: cfg.skew, horizon: cfg.horizon };
-        let records =
-            RecordsConfig { max_keys: cfg.max_keys, max_answer_bytes: cfg.max_answer_bytes, vouch };
+        let coverage = RecordCoverage { since: clock.now(), skew: cfg.skew, horizon: cfg.horizon };
+        let records = RecordsConfig {
+            max_keys: cfg.max_keys,
+            max_answer_bytes: cfg.max_answer_bytes,
+            coverage,
+        };
         let records = KeyRecords::new(cfg.name.clone(), records);
         let inner = Inner { records, answers: HashMap::new() };
         Keys { clock, incarnation, inner: Mutex::new(inner), begun: Notify::new() }
@@ -60,7 +64,7 @@
         match inner.records.order(&order.key, order.shared_key, &order.ballot, now) {
             OrderReply::Run => {
                 if let Err(refused) = start() {
-                    inner.records.not_begun(&order.key, &order.ballot);
+                    inner.records.undo_start(&order.key, &order.ballot);
                     return Err(refused);
                 }
                 let answer = Arc::new(Answer::default());
@@ -122,14 +126,14 @@
     }
 
     /// A run began and ended without an answer.
-    pub(crate) fn end(&self, key: &RequestKey, ran: Ran) {
+    pub(crate) fn end(&self, key: &RequestKey, ran: RunStatus) {
         self.inner.lock().records.end(key, ran);
     }
 
     /// A run certainly did not begin.
     pub(crate) fn not_begun(&self, key: &RequestKey, ballot: &Ballot) {
         let mut inner = self.inner.lock();
-        inner.records.not_begun(key, ballot);
+        inner.records.undo_start(key, ballot);
         inner.answers.remove(key);
     }
 
@@ -153,11 +157,11 @@
 
     /// Agents that have still to acknowledge the present list.
     pub(crate) fn unacknowledged(&self) -> Vec<EndpointName> {
-        self.inner.lock().records.unacknowledged()
+        self.inner.lock().records.pending_acks()
     }
 
     pub(crate) fn acknowledged(&self, agent: &EndpointName, revision: u64) {
-        self.inner.lock().records.acknowledged(agent, revision, self.clock.now());
+        self.inner.lock().records.record_ack(agent, revision, self.clock.now());
     }
 
     pub(crate) fn revision(&self) -> u64 {
@@ -188,14 +192,14 @@
 
 impl Inner {
     fn look(&self, key: &RequestKey) -> Option<Result<Arc<Answer>, NotTaken>> {
-        let ran = self.records.look(key)?;
+        let ran = self.records.run_status(key)?;
         Some(self.answer(key, ran))
     }
 
-    fn answer(&self, key: &RequestKey, ran: Ran) -> Result<Arc<Answer>, NotTaken> {
+    fn answer(&self, key: &RequestKey, ran: RunStatus) -> Result<Arc<Answer>, NotTaken> {
         let held = self.answers.get(key).cloned();
         match (ran, held) {
-            (Ran::Running | Ran::Finished, Some(answer)) => Ok(answer),
+            (RunStatus::Running | RunStatus::Finished, Some(answer)) => Ok(answer),
             (ran, _) => Err(NotTaken::RanWithoutAnswer { ran }),
         }
     }
--- a/crates/bulrushusher_agent/src/runner.rs
+++ b/crates/bulrushusher_agent/src/runner.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use bulrushusher_http::{HttpError, LineStream};
-use bulrushusher_once::Ran;
+use bulrushusher_once::RunStatus;
 use bulrushusher_wire::{DecodeRun, RunOrder, Work};
 use tokio::time::{Duration, Instant, sleep, timeout};
 
@@ -60,18 +60,18 @@
         Some(Outcome::Lost(cause)) => {
             log::warn!("{LOG} run {run} lost: {cause}");
             cancel(shared, &run).await;
-            shared.keys.end(&order.key, Ran::Failed);
+            shared.keys.end(&order.key, RunStatus::Failed);
             answer.end(Ending::Failed { cause, engine_ended: false });
         }
         Some(Outcome::EngineEnded) => {
             log::warn!("{LOG} run {run} lost: its engine ended and has started again");
-            shared.keys.end(&order.key, Ran::Failed);
+            shared.keys.end(&order.key, RunStatus::Failed);
             let cause = "the engine ended".to_owned();
             answer.end(Ending::Failed { cause, engine_ended: true });
         }
         None => {
             log::info!("{LOG} run {run} is wanted by nobody, cancelled");
-            shared.keys.end(&order.key, Ran::Cancelled);
+            shared.keys.end(&order.key, RunStatus::Cancelled);
             cancel(shared, &run).await;
             let cause = "cancelled".to_owned();
             answer.end(Ending::Failed { cause, engine_ended: false });
--- a/crates/bulrushusher_entry/src/execution.rs
+++ b/crates/bulrushusher_entry/src/execution.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use bulrushusher_once::{Ballot, Ran, Settled};
+use bulrushusher_once::{Ballot, RunStatus, Settled};
 use bulrushusher_routing::RequestDigest;
 use bulrushusher_time::Millis;
 use bulrushusher_wire::{ApiError, ErrorCode, NotTaken, RunOrder, RunState, Work};
@@ -128,7 +128,7 @@
             Settled::Attach { executor, ran } => {
                 self.take_from(&executor, ran).await.map(Assigned::Elsewhere)
             }
-            Settled::Not(_) => Err(unknown("the key was not settled")),
+            Settled::Failed(_) => Err(unknown("the key was not settled")),
         }
     }
 
@@ -159,7 +159,7 @@
                 Ok(Step::Again)
             }
             Settled::Attach { executor, ran } => Box::pin(self.take_from(&executor, ran)).await,
-            Settled::Not(_) => Err(unknown("the key was not settled")),
+            Settled::Failed(_) => Err(unknown("the key was not settled")),
         }
     }
 
@@ -279,7 +279,7 @@
             StreamEnd::NotTaken(NotTaken::TooOld) => Err(settle::too_old()),
             StreamEnd::NotTaken(NotTaken::RanWithoutAnswer { ran }) => self.lost(Some(ran)).await,
             StreamEnd::Failed(ran) => self.lost(Some(ran)).await,
-            StreamEnd::EngineEnded => self.lost(Some(Ran::Failed)).await,
+            StreamEnd::EngineEnded => self.lost(Some(RunStatus::Failed)).await,
             StreamEnd::NotTaken(NotTaken::NotHere { .. } | NotTaken::InDoubt) | StreamEnd::Lost => {
                 self.lost(None).await
             }
@@ -288,7 +288,7 @@
 
     /// It ran, or may have run, and there is no answer: an idempotent request starts again where
     /// its caller has seen nothing yet.
-    async fn lost(&mut self, ran: Option<Ran>) -> Result<Step, ApiError> {
+    async fn lost(&mut self, ran: Option<RunStatus>) -> Result<Step, ApiError> {
         let unseen = self.passed == 0 || self.restartable;
         if !self.job.is_idempotent() || !unseen {
             return Err(ran.map_or_else(|| unknown("its endpoint is gone"), answer_gone));
--- a/crates/bulrushusher_entry/src/run_stream.rs
+++ b/crates/bulrushusher_entry/src/run_stream.rs
@@ -5,7 +5,7 @@
 
 use bulrushusher_admission::ReservationId;
 use bulrushusher_http::{HttpError, LineStream};
-use bulrushusher_once::Ran;
+use bulrushusher_once::RunStatus;
 use bulrushusher_time::Millis;
 use bulrushusher_wire::{ApiError, AttachOrder, Frame, NotTaken, RunOrder};
 use bulrushusher_world::{Endpoint, RequestKey};
@@ -70,7 +70,7 @@
     /// Nothing ran: the KV cache or the service was gone.
     NothingRan,
     /// It ran and there is no whole answer.
-    Failed(Ran),
+    Failed(RunStatus),
     /// It ran, and its engine ended.
     EngineEnded,
     /// The agent does not answer any more, or has forgotten.
@@ -245,7 +245,7 @@
             Frame::Failed { engine_ended: true, .. } => {
                 Err(Interrupted::Ended(StreamEnd::EngineEnded))
             }
-            Frame::Failed { .. } => Err(Interrupted::Ended(StreamEnd::Failed(Ran::Failed))),
+            Frame::Failed { .. } => Err(Interrupted::Ended(StreamEnd::Failed(RunStatus::Failed))),
             Frame::Token { .. }
             | Frame::End { .. }
             | Frame::Prefilled { .. }
--- a/crates/bulrushusher_entry/src/settle.rs
+++ b/crates/bulrushusher_entry/src/settle.rs
@@ -3,7 +3,8 @@
 use std::sync::Arc;
 
 use bulrushusher_once::{
-    Ballot, Heard, ListView, Ran, SettleAction, SettleAsk, Settled, Settlement, Unsettled,
+    Ballot, BarResponse, ListView, RunStatus, SettleAction, SettleFailure, SettleRequest, Settled,
+    Settlement,
 };
 use bulrushusher_time::Millis;
 use bulrushusher_wire::{ApiError, BarAsk, ClaimAsk, ErrorCode, RunState};
@@ -25,8 +26,8 @@
     configuration.list_view(&job.service, shared.clock.now(), shared.cfg.horizon)
 }
 
-fn ask(shared: &Shared, job: &Job) -> SettleAsk {
-    SettleAsk {
+fn ask(shared: &Shared, job: &Job) -> SettleRequest {
+    SettleRequest {
         key: job.key.clone(),
         idempotent: job.is_idempotent(),
         owner: shared.next_owner(),
@@ -68,7 +69,7 @@
                     Some(home) => shared.agents.claim(&home, ask).await,
                     None => None,
                 };
-                settlement.claimed(reply);
+                settlement.record_claim_reply(reply);
             }
             SettleAction::Bar { agents, ballot, revision } => {
                 let ask = BarAsk { key: job.key.clone(), ballot, revision };
@@ -83,9 +84,9 @@
             SettleAction::Pause => {
                 let pause = shared.random_below(ROUND_PAUSE_MS);
                 tokio::time::sleep(Millis(pause).duration()).await;
-                settlement.again(view(shared, job));
+                settlement.next_round(view(shared, job));
             }
-            SettleAction::Done(Settled::Not(why)) => return Err(unsettled(why)),
+            SettleAction::Done(Settled::Failed(why)) => return Err(unsettled(why)),
             SettleAction::Done(settled) => return Ok(settled),
         }
     }
@@ -110,25 +111,25 @@
         })
         .collect();
     while let Some((name, answer)) = asks.next().await {
-        let heard = answer.map(|answer| Heard {
+        let heard = answer.map(|answer| BarResponse {
             reply: answer.reply,
             home: answer.home,
             revision: answer.revision,
         });
-        settlement.heard(name, &ask.ballot, heard);
+        settlement.record_bar_reply(name, &ask.ballot, heard);
         if !matches!(settlement.action(), SettleAction::Bar { .. }) {
             return;
         }
     }
 }
 
-fn unsettled(why: Unsettled) -> ApiError {
+fn unsettled(why: SettleFailure) -> ApiError {
     match why {
-        Unsettled::TooOld => too_old(),
-        Unsettled::RanWithoutAnswer(ran) => answer_gone(ran),
-        Unsettled::Unknown => unknown("an endpoint that may have run it is gone"),
-        Unsettled::TableFull => unknown("a table of keys is full"),
-        Unsettled::Contended => unknown("others want the same key"),
+        SettleFailure::TooOld => too_old(),
+        SettleFailure::RanWithoutAnswer(ran) => answer_gone(ran),
+        SettleFailure::Unknown => unknown("an endpoint that may have run it is gone"),
+        SettleFailure::TableFull => unknown("a table of keys is full"),
+        SettleFailure::Contended => unknown("others want the same key"),
     }
 }
 
@@ -140,7 +141,7 @@
 }
 
 /// The error for a key that ran and whose answer cannot be had.
-pub(crate) fn answer_gone(ran: Ran) -> ApiError {
+pub(crate) fn answer_gone(ran: RunStatus) -> ApiError {
     ApiError {
         code: ErrorCode::AnswerGone,
         run: RunState::Ran,
--- a/crates/bulrushusher_once/src/bar.rs
+++ b/crates/bulrushusher_once/src/bar.rs
@@ -4,7 +4,7 @@
 
 use bulrushusher_world::EndpointName;
 
-use crate::{Ballot, BarReply, HomeBar, Ran};
+use crate::{Ballot, BarReply, HomeBarReply, RunStatus};
 
 /// What a finished round tells.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -12,24 +12,24 @@
     /// It ran nowhere, and lower ballots are refused everywhere: run it at this round's ballot.
     Clear,
     /// It ran or runs at that endpoint: attach there.
-    Ran(EndpointName, Ran),
+    Ran(EndpointName, RunStatus),
     /// Another entry holds a higher ballot: bar again above it.
     Higher(Ballot),
     /// Some agent may have run it and cannot tell: the outcome is unknown.
     Unknown,
     /// Some agent knows a later endpoint list, of that revision: learn it and bar again.
-    OldList(u64),
+    StaleList(u64),
     /// Some agent's table is full: nothing is known, come back later.
     TableFull,
 }
 
 /// What one agent answered to a bar.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct BarResponse {
     /// What it knows as an executor.
     pub reply: BarReply,
     /// What it knows as a home.
-    pub home: HomeBar,
+    pub home: HomeBarReply,
     /// The revision of the endpoint list that it holds.
     pub revision: u64,
 }
@@ -41,7 +41,7 @@
 /// list, none was barred before, and the key is younger than the list.
 ///
 /// ```
-/// use bulrushusher_once::{Ballot, BarReply, BarRound, BarVerdict, Heard, HomeBar, Owner};
+/// use bulrushusher_once::{Ballot, BarReply, BarRound, BarVerdict, BarResponse, HomeBarReply, Owner};
 /// use bulrushusher_world::{EndpointName, EntryName};
 /// let entry = EntryName::try_from("entry-1").unwrap();
 /// let d1 = EndpointName::try_from("d1").unwrap();
@@ -49,7 +49,7 @@
 /// let mut round = BarRound::new(Ballot::Home.next(&owner), 4, [d1.clone()], None);
 /// assert_eq!(round.verdict(), None);
 /// let reply = BarReply::Clean { earlier: None };
-/// round.reply(&d1, Heard { reply, home: HomeBar::NotGiven, revision: 4 });
+/// round.record_reply(&d1, BarResponse { reply, home: HomeBarReply::NotGiven, revision: 4 });
 /// assert_eq!(round.verdict(), Some(BarVerdict::Clear));
 /// ```
 #[derive(Debug)]
@@ -60,7 +60,7 @@
     idle_home: Option<EndpointName>,
     home_lost: bool,
     hints: bool,
-    ran: Option<(EndpointName, Ran)>,
+    ran: Option<(EndpointName, RunStatus)>,
     given: BTreeSet<EndpointName>,
     lost: BTreeSet<EndpointName>,
     higher: Option<Ballot>,
@@ -100,12 +100,12 @@
     }
 
     /// Agents that have not answered yet.
-    pub fn awaited(&self) -> impl Iterator<Item = &EndpointName> {
+    pub fn pending(&self) -> impl Iterator<Item = &EndpointName> {
         self.awaited.iter()
     }
 
     /// An agent answered. A second answer is ignored.
-    pub fn reply(&mut self, agent: &EndpointName, heard: Heard) {
+    pub fn record_reply(&mut self, agent: &EndpointName, heard: BarResponse) {
         if !self.awaited.remove(agent) {
             return;
         }
@@ -115,7 +115,7 @@
         if heard.revision > self.revision {
             self.later_list = self.later_list.max(Some(heard.revision));
         }
-        if let HomeBar::Given(executor) = heard.home {
+        if let HomeBarReply::Given(executor) = heard.home {
             self.given.insert(executor);
         }
         match heard.reply {
@@ -128,7 +128,7 @@
     }
 
     /// An agent could not be reached within the bound.
-    pub fn unreachable(&mut self, agent: &EndpointName) {
+    pub fn record_unreachable(&mut self, agent: &EndpointName) {
         if !self.awaited.remove(agent) {
             return;
         }
@@ -142,7 +142,7 @@
     /// What is known once all have answered, and as soon as one has an answer to attach to.
     pub fn verdict(&self) -> Option<BarVerdict> {
         let ran = self.ran.clone().map(|(agent, ran)| BarVerdict::Ran(agent, ran));
-        if let Some(BarVerdict::Ran(_, Ran::Running | Ran::Finished)) = ran {
+        if let Some(BarVerdict::Ran(_, RunStatus::Running | RunStatus::Finished)) = ran {
             return ran;
         }
         if !self.awaited.is_empty() {
@@ -152,7 +152,7 @@
             return ran;
         }
         if let Some(revision) = self.later_list {
-            return Some(BarVerdict::OldList(revision));
+            return Some(BarVerdict::StaleList(revision));
         }
         if let Some(ballot) = &self.higher {
             return Some(BarVerdict::Higher(ballot.clone()));
@@ -168,8 +168,8 @@
 
     /// Keeps the most useful of several runs: one with an answer. (Several are possible only for
     /// keys that may run again.)
-    fn note_run(&mut self, agent: &EndpointName, ran: Ran) {
-        let has_answer = |ran: Ran| matches!(ran, Ran::Running | Ran::Finished);
+    fn note_run(&mut self, agent: &EndpointName, ran: RunStatus) {
+        let has_answer = |ran: RunStatus| matches!(ran, RunStatus::Running | RunStatus::Finished);
         if self.ran.as_ref().is_none_or(|(_, held)| !has_answer(*held)) {
             self.ran = Some((agent.clone(), ran));
         }
--- a/crates/bulrushusher_once/src/vouch.rs
+++ b/crates/bulrushusher_once/src/coverage.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyAge {
     /// The key is younger than this process's memory: no record means never seen.
-    Vouched,
+    Covered,
     /// The key may be older than this process's memory, or its time lies in the future.
     InDoubt,
     /// The key is older than the retry horizon; records of it may have been dropped.
@@ -36,7 +36,7 @@
 
 /// The rule by which a process vouches.
 #[derive(Clone, Copy, Debug)]
-pub struct Vouch {
+pub struct RecordCoverage {
     /// When this process's memory began, Unix time.
     pub since: Millis,
     /// The largest difference between two clocks.
@@ -45,34 +45,34 @@
     pub horizon: Millis,
 }
 
-impl Vouch {
+impl RecordCoverage {
     /// Whether "no record" means "never seen" for a key of that time.
     ///
     /// A key without a time is vouched for once the memory is older than the horizon.
     ///
     /// ```
-    /// use bulrushusher_once::{KeyAge, Vouch};
+    /// use bulrushusher_once::{KeyAge, RecordCoverage};
     /// use bulrushusher_time::Millis;
-    /// let vouch = Vouch { since: Millis(5_000), skew: Millis(100), horizon: Millis(60_000) };
-    /// assert_eq!(vouch.age(Some(Millis(5_101)), Millis(5_200)), KeyAge::Vouched);
-    /// assert_eq!(vouch.age(Some(Millis(5_100)), Millis(5_200)), KeyAge::InDoubt);
-    /// assert_eq!(vouch.age(None, Millis(5_200)), KeyAge::InDoubt);
+    /// let coverage = RecordCoverage { since: Millis(5_000), skew: Millis(100), horizon: Millis(60_000) };
+    /// assert_eq!(coverage.key_age(Some(Millis(5_101)), Millis(5_200)), KeyAge::Covered);
+    /// assert_eq!(coverage.key_age(Some(Millis(5_100)), Millis(5_200)), KeyAge::InDoubt);
+    /// assert_eq!(coverage.key_age(None, Millis(5_200)), KeyAge::InDoubt);
     /// ```
-    pub fn age(&self, time: Option<Millis>, now: Millis) -> KeyAge {
+    pub fn key_age(&self, time: Option<Millis>, now: Millis) -> KeyAge {
         let Some(time) = time else {
-            let full_memory = now.since(self.since) > self.record_life();
-            return if full_memory { KeyAge::Vouched } else { KeyAge::InDoubt };
+            let full_memory = now.since(self.since) > self.retention();
+            return if full_memory { KeyAge::Covered } else { KeyAge::InDoubt };
         };
         if time.plus(self.horizon).plus(self.skew) < now {
             return KeyAge::TooOld;
         }
         let from_the_future = time > now.plus(self.skew);
         let before_memory = time <= self.since.plus(self.skew);
-        if from_the_future || before_memory { KeyAge::InDoubt } else { KeyAge::Vouched }
+        if from_the_future || before_memory { KeyAge::InDoubt } else { KeyAge::Covered }
     }
 
     /// How long a record must be kept.
-    pub fn record_life(&self) -> Millis {
+    pub fn retention(&self) -> Millis {
         self.horizon.plus(self.skew).plus(self.skew)
     }
 }
--- a/crates/bulrushusher_once/src/executor.rs
+++ b/crates/bulrushusher_once/src/executor.rs
@@ -7,7 +7,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use crate::{Ballot, KeyAge, Vouch, key_time};
+use crate::{Ballot, KeyAge, RecordCoverage, key_time};
 
 /// Bounds of an executor's table.
 #[derive(Clone, Copy, Debug)]
@@ -17,13 +17,13 @@
     /// Bytes of finished answers held at once; the oldest answers go first.
     pub max_answer_bytes: usize,
     /// When this agent vouches for a key that it has no record of.
-    pub vouch: Vouch,
+    pub coverage: RecordCoverage,
 }
 
 /// How far a key that ran here has come.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ran {
+pub enum RunStatus {
     /// It runs now.
     #[display("running")]
     Running,
@@ -47,7 +47,7 @@
     /// Run it now; the key is recorded as running.
     Run,
     /// It ran or runs here already; attach to it or replay it.
-    AlreadyRan(Ran),
+    AlreadyRan(RunStatus),
     /// A higher or different ballot was promised; not run here.
     Barred(Ballot),
     /// This agent cannot vouch for the key; not run here by this order.
@@ -69,7 +69,7 @@
         earlier: Option<Ballot>,
     },
     /// Ran or runs here.
-    Ran(Ran),
+    Ran(RunStatus),
     /// Will not run at a lower ballot from now on, but may have run before this agent's memory.
     CannotSay,
     /// A higher ballot is held.
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug)]
 enum State {
     Barred { ballot: Ballot, vouched: bool },
-    Ran { ran: Ran, bytes: usize },
+    Ran { ran: RunStatus, bytes: usize },
 }
 
 #[derive(Clone, Debug)]
@@ -93,16 +93,16 @@
 /// Which keys ran at this endpoint, and which ballots it has promised to refuse.
 ///
 /// ```
-/// use bulrushusher_once::{Ballot, ExecutorConfig, ExecutorTable, OrderReply, Ran, Vouch};
+/// use bulrushusher_once::{Ballot, ExecutorConfig, ExecutorTable, OrderReply, RunStatus, RecordCoverage};
 /// use bulrushusher_time::Millis;
 /// use bulrushusher_world::RequestKey;
-/// let vouch = Vouch { since: Millis(0), skew: Millis(10), horizon: Millis(1_000) };
-/// let cfg = ExecutorConfig { max_records: 10, max_answer_bytes: 1_000, vouch };
+/// let coverage = RecordCoverage { since: Millis(0), skew: Millis(10), horizon: Millis(1_000) };
+/// let cfg = ExecutorConfig { max_records: 10, max_answer_bytes: 1_000, coverage };
 /// let mut table = ExecutorTable::new(cfg);
 /// let key = RequestKey::try_from("order-7").unwrap();
 /// assert_eq!(table.order(&key, &Ballot::Home, Millis(5_000)), OrderReply::Run);
 /// let again = table.order(&key, &Ballot::Home, Millis(5_001));
-/// assert_eq!(again, OrderReply::AlreadyRan(Ran::Running));
+/// assert_eq!(again, OrderReply::AlreadyRan(RunStatus::Running));
 /// ```
 #[derive(Debug)]
 pub struct ExecutorTable {
@@ -130,7 +130,7 @@
     /// This endpoint joined the list of its service: keys older than this may have run before, at
     /// endpoints that were barred without this one.
     pub fn joined(&mut self, now: Millis) {
-        self.cfg.vouch.since = self.cfg.vouch.since.max(now);
+        self.cfg.coverage.since = self.cfg.coverage.since.max(now);
     }
 
     /// An order to run `key` came. On [`OrderReply::Run`] the key counts as running.
@@ -147,11 +147,11 @@
     /// Whether an order for `key` at [`Ballot::Home`] would be refused for want of memory.
     pub fn is_in_doubt(&self, key: &RequestKey, now: Millis) -> bool {
         let unseen = !self.records.contains_key(key);
-        unseen && self.cfg.vouch.age(key_time(key), now) == KeyAge::InDoubt
+        unseen && self.cfg.coverage.key_age(key_time(key), now) == KeyAge::InDoubt
     }
 
     /// What is known of `key`, without changing anything; `None` when it never ran here.
-    pub fn look(&self, key: &RequestKey) -> Option<Ran> {
+    pub fn run_status(&self, key: &RequestKey) -> Option<RunStatus> {
         match self.records.get(key)?.state {
             State::Ran { ran, .. } => Some(ran),
             State::Barred { .. } => None,
@@ -178,7 +178,7 @@
     /// A running key finished with an answer of `bytes`. The oldest answers are dropped to keep
     /// the bound; see [`ExecutorTable::take_dropped`].
     pub fn finish(&mut self, key: &RequestKey, bytes: usize) {
-        if !self.set_ran(key, Ran::Finished, bytes) {
+        if !self.set_ran(key, RunStatus::Finished, bytes) {
             return;
         }
         self.answers.push_back(key.clone());
@@ -197,9 +197,9 @@
 
     /// A key recorded as running certainly did not begin: it may be ordered again. The ballot it
     /// was ordered at stays promised.
-    pub fn not_begun(&mut self, key: &RequestKey, ballot: &Ballot) {
+    pub fn undo_start(&mut self, key: &RequestKey, ballot: &Ballot) {
         let Some(record) = self.records.get_mut(key) else { return };
-        if !matches!(record.state, State::Ran { ran: Ran::Running, .. }) {
+        if !matches!(record.state, State::Ran { ran: RunStatus::Running, .. }) {
             return;
         }
         if *ballot == Ballot::Home {
@@ -209,8 +209,8 @@
         }
     }
 
-    /// A running key ended without an answer: [`Ran::Cancelled`] or [`Ran::Failed`].
-    pub fn end(&mut self, key: &RequestKey, ran: Ran) {
+    /// A running key ended without an answer: [`RunStatus::Cancelled`] or [`RunStatus::Failed`].
+    pub fn end(&mut self, key: &RequestKey, ran: RunStatus) {
         self.set_ran(key, ran, 0);
     }
 
@@ -233,9 +233,9 @@
         if *ballot != Ballot::Home {
             return OrderReply::InDoubt;
         }
-        match self.cfg.vouch.age(key_time(key), now) {
-            KeyAge::Vouched if self.is_full() => OrderReply::TableFull,
-            KeyAge::Vouched => self.run(key, now),
+        match self.cfg.coverage.key_age(key_time(key), now) {
+            KeyAge::Covered if self.is_full() => OrderReply::TableFull,
+            KeyAge::Covered => self.run(key, now),
             KeyAge::InDoubt => OrderReply::InDoubt,
             KeyAge::TooOld => OrderReply::TooOld,
         }
@@ -245,13 +245,13 @@
         if self.is_full() {
             return BarReply::TableFull;
         }
-        let vouched = self.cfg.vouch.age(key_time(key), now) == KeyAge::Vouched;
+        let vouched = self.cfg.coverage.key_age(key_time(key), now) == KeyAge::Covered;
         self.insert(key, State::Barred { ballot: ballot.clone(), vouched }, now);
         if vouched { BarReply::Clean { earlier: None } } else { BarReply::CannotSay }
     }
 
     fn run(&mut self, key: &RequestKey, now: Millis) -> OrderReply {
-        self.insert(key, State::Ran { ran: Ran::Running, bytes: 0 }, now);
+        self.insert(key, State::Ran { ran: RunStatus::Running, bytes: 0 }, now);
         OrderReply::Run
     }
 
@@ -264,9 +264,9 @@
         self.records.len() >= self.cfg.max_records
     }
 
-    fn set_ran(&mut self, key: &RequestKey, next: Ran, size: usize) -> bool {
+    fn set_ran(&mut self, key: &RequestKey, next: RunStatus, size: usize) -> bool {
         match self.records.get_mut(key).map(|record| &mut record.state) {
-            Some(State::Ran { ran, bytes }) if *ran == Ran::Running => {
+            Some(State::Ran { ran, bytes }) if *ran == RunStatus::Running => {
                 *ran = next;
                 *bytes = size;
                 true
@@ -278,17 +278,17 @@
     fn forget_answer(&mut self, key: &RequestKey) {
         let Some(record) = self.records.get_mut(key) else { return };
         if let State::Ran { ran, bytes } = &mut record.state
-            && *ran == Ran::Finished
+            && *ran == RunStatus::Finished
         {
             self.answer_bytes = self.answer_bytes.saturating_sub(*bytes);
-            *ran = Ran::AnswerGone;
+            *ran = RunStatus::AnswerGone;
             *bytes = 0;
         }
     }
 
     /// Drops records past their life. A running key is kept however old it is.
     fn drop_old(&mut self, now: Millis) {
-        let life = self.cfg.vouch.record_life();
+        let life = self.cfg.coverage.retention();
         while let Some((made, key)) = self.by_age.front() {
             if now.since(*made) <= life {
                 return;
@@ -304,7 +304,7 @@
         if record.made != made {
             return;
         }
-        if matches!(record.state, State::Ran { ran: Ran::Running, .. }) {
+        if matches!(record.state, State::Ran { ran: RunStatus::Running, .. }) {
             self.insert_again(key, now);
             return;
         }
--- a/crates/bulrushusher_once/src/home.rs
+++ b/crates/bulrushusher_once/src/home.rs
@@ -7,7 +7,7 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-use crate::{KeyAge, Vouch, home_of, key_time};
+use crate::{KeyAge, RecordCoverage, home_of, key_time};
 
 /// Earlier endpoint lists remembered while some home has not acknowledged the next one.
 const MAX_EARLIER_LISTS: usize = 16;
@@ -18,7 +18,7 @@
     /// Records held at once; one more is refused.
     pub max_records: usize,
     /// When this home vouches for a key that it has no record of.
-    pub vouch: Vouch,
+    pub coverage: RecordCoverage,
 }
 
 /// The home's answer to a claim.
@@ -45,7 +45,7 @@
 /// What a barred home tells.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum HomeBar {
+pub enum HomeBarReply {
     /// The key was given to that executor before.
     Given(EndpointName),
     /// The key was not given to anyone by this home, and will not be.
@@ -116,12 +116,12 @@
 /// Which executor each key was given to.
 ///
 /// ```
-/// use bulrushusher_once::{ClaimReply, HomeConfig, HomeTable, ServiceList, Vouch};
+/// use bulrushusher_once::{ClaimReply, HomeConfig, HomeTable, ServiceList, RecordCoverage};
 /// use bulrushusher_time::Millis;
 /// use bulrushusher_world::{EndpointName, RequestKey};
 /// let name = |text| EndpointName::try_from(text).unwrap();
-/// let vouch = Vouch { since: Millis(0), skew: Millis(10), horizon: Millis(1_000) };
-/// let mut home = HomeTable::new(name("d1"), HomeConfig { max_records: 10, vouch });
+/// let coverage = RecordCoverage { since: Millis(0), skew: Millis(10), horizon: Millis(1_000) };
+/// let mut home = HomeTable::new(name("d1"), HomeConfig { max_records: 10, coverage });
 /// let list = ServiceList { revision: 1, executors: vec![name("d1")], ..ServiceList::default() };
 /// home.set_list(list, Millis(0));
 /// let key = RequestKey::try_from("order-7").unwrap();
@@ -156,7 +156,7 @@
     /// A key that had another home by the list before is in doubt until that home has acknowledged
     /// this list or a later one, and for good when it is older than that. Where this agent did not
     /// see the list before, every key is in doubt until every other agent has; see
-    /// [`HomeTable::acknowledged`].
+    /// [`HomeTable::record_ack`].
     pub fn set_list(&mut self, list: ServiceList, now: Millis) -> bool {
         if list.revision <= self.list.revision {
             return false;
@@ -175,7 +175,7 @@
         });
         self.list = list;
         let (me, revision) = (self.me.clone(), self.list.revision);
-        self.acknowledged(&me, revision, now);
+        self.record_ack(&me, revision, now);
         if self.earlier.len() > MAX_EARLIER_LISTS {
             self.forget_lists(now);
         }
@@ -183,19 +183,19 @@
     }
 
     /// `agent` holds the list of `revision`, or is gone for longer than the VM list's lag.
-    pub fn acknowledged(&mut self, agent: &EndpointName, revision: u64, now: Millis) {
+    pub fn record_ack(&mut self, agent: &EndpointName, revision: u64, now: Millis) {
         for earlier in self.earlier.iter_mut().filter(|earlier| earlier.revision <= revision) {
             let held = [earlier.executors.get_mut(agent), earlier.unknown.get_mut(agent)];
             for at in held.into_iter().flatten() {
                 at.get_or_insert(now);
             }
         }
-        let life = self.cfg.vouch.record_life();
+        let life = self.cfg.coverage.retention();
         self.earlier.retain(|earlier| !earlier.is_over(now, life));
     }
 
     /// Agents that have still to acknowledge the present list.
-    pub fn unacknowledged(&self) -> Vec<EndpointName> {
+    pub fn pending_acks(&self) -> Vec<EndpointName> {
         let all = self.earlier.iter().flat_map(EarlierHomes::all);
         let open: BTreeSet<_> = all.filter(|(_, at)| at.is_none()).map(|(name, _)| name).collect();
         open.into_iter().cloned().collect()
@@ -204,10 +204,10 @@
     /// Too many lists to tell apart: every key is in doubt until all agents in them have
     /// acknowledged the last, and every key that is older than now.
     fn forget_lists(&mut self, now: Millis) {
-        let unknown = self.unacknowledged().into_iter().map(|name| (name, None)).collect();
+        let unknown = self.pending_acks().into_iter().map(|name| (name, None)).collect();
         let revision = self.list.revision;
         self.earlier = vec![EarlierHomes { revision, executors: BTreeMap::new(), unknown }];
-        self.cfg.vouch.since = self.cfg.vouch.since.max(now);
+        self.cfg.coverage.since = self.cfg.coverage.since.max(now);
     }
 
     /// The revision of the list held; 0 for none.
@@ -235,11 +235,11 @@
             return ClaimReply::OtherList { revision: self.list.revision };
         }
         let Some(since) = self.vouches_since(key) else { return ClaimReply::InDoubt };
-        let vouch = Vouch { since, ..self.cfg.vouch };
-        match vouch.age(key_time(key), now) {
+        let coverage = RecordCoverage { since, ..self.cfg.coverage };
+        match coverage.key_age(key_time(key), now) {
             KeyAge::InDoubt => ClaimReply::InDoubt,
             KeyAge::TooOld => ClaimReply::TooOld,
-            KeyAge::Vouched => match self.record(key, Claim::Given(executor.clone()), now) {
+            KeyAge::Covered => match self.record(key, Claim::Given(executor.clone()), now) {
                 true => ClaimReply::Recorded,
                 false => ClaimReply::TableFull,
             },
@@ -250,12 +250,12 @@
     ///
     /// # Errors
     /// [`TableFull`] when that cannot be put on record.
-    pub fn bar(&mut self, key: &RequestKey, now: Millis) -> Result<HomeBar, TableFull> {
+    pub fn bar(&mut self, key: &RequestKey, now: Millis) -> Result<HomeBarReply, TableFull> {
         self.drop_old(now);
         match self.records.get(key).cloned() {
-            Some(Claim::Given(executor)) => Ok(HomeBar::Given(executor)),
-            Some(Claim::Barred) => Ok(HomeBar::NotGiven),
-            None if self.record(key, Claim::Barred, now) => Ok(HomeBar::NotGiven),
+            Some(Claim::Given(executor)) => Ok(HomeBarReply::Given(executor)),
+            Some(Claim::Barred) => Ok(HomeBarReply::NotGiven),
+            None if self.record(key, Claim::Barred, now) => Ok(HomeBarReply::NotGiven),
             None => Err(TableFull),
         }
     }
@@ -274,7 +274,7 @@
     fn vouches_since(&self, key: &RequestKey) -> Option<Millis> {
         let closed = self.earlier.iter().map(|earlier| earlier.closed_for(key, &self.me));
         let closed: Option<Vec<Millis>> = closed.collect();
-        closed?.into_iter().chain([self.cfg.vouch.since]).max()
+        closed?.into_iter().chain([self.cfg.coverage.since]).max()
     }
 
     /// Puts `claim` on record; false when the table is full.
@@ -288,7 +288,7 @@
     }
 
     fn drop_old(&mut self, now: Millis) {
-        let life = self.cfg.vouch.record_life();
+        let life = self.cfg.coverage.retention();
         while let Some((made, _)) = self.by_age.front() {
             if now.since(*made) <= life {
                 return;
--- a/crates/bulrushusher_once/src/lib.rs
+++ b/crates/bulrushusher_once/src/lib.rs
@@ -12,27 +12,27 @@
 
 mod ballot;
 mod bar;
+mod coverage;
 mod executor;
 mod home;
 mod records;
 mod rendezvous;
 mod settlement;
-mod vouch;
 
 pub use ballot::{Ballot, Owner};
-pub use bar::{BarRound, BarVerdict, Heard};
-pub use executor::{BarReply, ExecutorConfig, ExecutorTable, OrderReply, Ran};
-pub use home::{ClaimReply, HomeBar, HomeConfig, HomeTable, ServiceList, TableFull};
+pub use bar::{BarResponse, BarRound, BarVerdict};
+pub use coverage::{KeyAge, RecordCoverage, key_time};
+pub use executor::{BarReply, ExecutorConfig, ExecutorTable, OrderReply, RunStatus};
+pub use home::{ClaimReply, HomeBarReply, HomeConfig, HomeTable, ServiceList, TableFull};
 pub use records::{KeyRecords, RecordsConfig};
-pub use rendezvous::{home_of, rank};
-pub use settlement::{ListView, SettleAction, SettleAsk, Settled, Settlement, Unsettled};
-pub use vouch::{KeyAge, Vouch, key_time};
+pub use rendezvous::{home_of, rendezvous_score};
+pub use settlement::{ListView, SettleAction, SettleFailure, SettleRequest, Settled, Settlement};
 
 /// The common types in one `use`.
 pub mod prelude {
     pub use crate::{
         Ballot, BarReply, BarRound, BarVerdict, ClaimReply, ExecutorConfig, ExecutorTable,
-        HomeConfig, HomeTable, KeyRecords, ListView, OrderReply, Owner, Ran, RecordsConfig,
-        SettleAction, SettleAsk, Settled, Settlement, Vouch,
+        HomeConfig, HomeTable, KeyRecords, ListView, OrderReply, Owner, RecordCoverage,
+        RecordsConfig, RunStatus, SettleAction, SettleRequest, Settled, Settlement,
     };
 }
--- a/crates/bulrushusher_once/src/records.rs
+++ b/crates/bulrushusher_once/src/records.rs
@@ -4,8 +4,8 @@
 use bulrushusher_world::{EndpointName, RequestKey};
 
 use crate::{
-    Ballot, BarReply, ClaimReply, ExecutorConfig, ExecutorTable, Heard, HomeBar, HomeConfig,
-    HomeTable, OrderReply, Ran, ServiceList, Vouch, home_of,
+    Ballot, BarReply, BarResponse, ClaimReply, ExecutorConfig, ExecutorTable, HomeBarReply,
+    HomeConfig, HomeTable, OrderReply, RecordCoverage, RunStatus, ServiceList, home_of,
 };
 
 /// Bounds of an agent's records.
@@ -16,18 +16,18 @@
     /// Bytes of finished answers held at once.
     pub max_answer_bytes: usize,
     /// When this agent vouches for a key that it has no record of.
-    pub vouch: Vouch,
+    pub coverage: RecordCoverage,
 }
 
 /// An agent's records.
 ///
 /// ```
-/// use bulrushusher_once::{Ballot, KeyRecords, OrderReply, RecordsConfig, Vouch};
+/// use bulrushusher_once::{Ballot, KeyRecords, OrderReply, RecordsConfig, RecordCoverage};
 /// use bulrushusher_time::Millis;
 /// use bulrushusher_world::{EndpointName, RequestKey};
 /// let name = |text| EndpointName::try_from(text).unwrap();
-/// let vouch = Vouch { since: Millis(0), skew: Millis(10), horizon: Millis(1_000) };
-/// let cfg = RecordsConfig { max_keys: 10, max_answer_bytes: 1_000, vouch };
+/// let coverage = RecordCoverage { since: Millis(0), skew: Millis(10), horizon: Millis(1_000) };
+/// let cfg = RecordsConfig { max_keys: 10, max_answer_bytes: 1_000, coverage };
 /// let mut records = KeyRecords::new(name("d1"), cfg);
 /// let key = RequestKey::try_from("order-7").unwrap();
 /// let now = Millis(5_000);
@@ -47,11 +47,11 @@
 impl KeyRecords {
     /// Empty records of the agent `me`.
     pub fn new(me: EndpointName, cfg: RecordsConfig) -> KeyRecords {
-        let RecordsConfig { max_keys: max_records, max_answer_bytes, vouch } = cfg;
-        let executor = ExecutorConfig { max_records, max_answer_bytes, vouch };
+        let RecordsConfig { max_keys: max_records, max_answer_bytes, coverage } = cfg;
+        let executor = ExecutorConfig { max_records, max_answer_bytes, coverage };
         KeyRecords {
             executor: ExecutorTable::new(executor),
-            home: HomeTable::new(me.clone(), HomeConfig { max_records, vouch }),
+            home: HomeTable::new(me.clone(), HomeConfig { max_records, coverage }),
             me,
             executors: Vec::new(),
             heard_revision: 0,
@@ -103,18 +103,24 @@
     }
 
     /// An entry that holds the list of `revision` bars `key`.
-    pub fn bar(&mut self, key: &RequestKey, ballot: &Ballot, revision: u64, now: Millis) -> Heard {
+    pub fn bar(
+        &mut self,
+        key: &RequestKey,
+        ballot: &Ballot,
+        revision: u64,
+        now: Millis,
+    ) -> BarResponse {
         self.heard_revision = self.heard_revision.max(revision);
         let (reply, home) = match self.home.bar(key, now) {
             Ok(home) => (self.executor.bar(key, ballot, now), home),
-            Err(_) => (BarReply::TableFull, HomeBar::NotGiven),
+            Err(_) => (BarReply::TableFull, HomeBarReply::NotGiven),
         };
-        Heard { reply, home, revision: self.heard_revision.max(self.home.revision()) }
+        BarResponse { reply, home, revision: self.heard_revision.max(self.home.revision()) }
     }
 
     /// What is known of `key` as its executor; `None` when it never ran here.
-    pub fn look(&self, key: &RequestKey) -> Option<Ran> {
-        self.executor.look(key)
+    pub fn run_status(&self, key: &RequestKey) -> Option<RunStatus> {
+        self.executor.run_status(key)
     }
 
     /// A running key finished with an answer of `bytes`; see [`ExecutorTable::finish`].
@@ -123,13 +129,13 @@
     }
 
     /// A running key ended without an answer.
-    pub fn end(&mut self, key: &RequestKey, ran: Ran) {
+    pub fn end(&mut self, key: &RequestKey, ran: RunStatus) {
         self.executor.end(key, ran);
     }
 
-    /// A key recorded as running certainly did not begin; see [`ExecutorTable::not_begun`].
-    pub fn not_begun(&mut self, key: &RequestKey, ballot: &Ballot) {
-        self.executor.not_begun(key, ballot);
+    /// A key recorded as running certainly did not begin; see [`ExecutorTable::undo_start`].
+    pub fn undo_start(&mut self, key: &RequestKey, ballot: &Ballot) {
+        self.executor.undo_start(key, ballot);
     }
 
     /// Keys whose answers need not be held any more, since the last call.
@@ -138,13 +144,13 @@
     }
 
     /// Agents that have still to acknowledge the present list.
-    pub fn unacknowledged(&self) -> Vec<EndpointName> {
-        self.home.unacknowledged()
+    pub fn pending_acks(&self) -> Vec<EndpointName> {
+        self.home.pending_acks()
     }
 
     /// `agent` holds the list of `revision`.
-    pub fn acknowledged(&mut self, agent: &EndpointName, revision: u64, now: Millis) {
-        self.home.acknowledged(agent, revision, now);
+    pub fn record_ack(&mut self, agent: &EndpointName, revision: u64, now: Millis) {
+        self.home.record_ack(agent, revision, now);
     }
 
     /// The revision of the list held; 0 for none.
--- a/crates/bulrushusher_once/src/rendezvous.rs
+++ b/crates/bulrushusher_once/src/rendezvous.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// The rank of an endpoint for a text; the highest comes first.
-pub fn rank(text: &str, endpoint: &EndpointName) -> u64 {
+pub fn rendezvous_score(text: &str, endpoint: &EndpointName) -> u64 {
     let seed = xxh3_64_with_seed(endpoint.as_str().as_bytes(), 0);
     xxh3_64_with_seed(text.as_bytes(), seed)
 }
@@ -23,5 +23,5 @@
     key: &RequestKey,
     endpoints: impl IntoIterator<Item = &'a EndpointName>,
 ) -> Option<&'a EndpointName> {
-    endpoints.into_iter().max_by_key(|name| (rank(key.as_str(), name), *name))
+    endpoints.into_iter().max_by_key(|name| (rendezvous_score(key.as_str(), name), *name))
 }
--- a/crates/bulrushusher_once/src/settlement.rs
+++ b/crates/bulrushusher_once/src/settlement.rs
@@ -4,7 +4,9 @@
 use bulrushusher_time::Millis;
 use bulrushusher_world::{EndpointName, RequestKey};
 
-use crate::{Ballot, BarRound, BarVerdict, ClaimReply, Heard, Owner, Ran, home_of, key_time};
+use crate::{
+    Ballot, BarResponse, BarRound, BarVerdict, ClaimReply, Owner, RunStatus, home_of, key_time,
+};
 
 /// Rounds of a bar before a request gives way to the others that want the same key.
 const MAX_ROUNDS: u32 = 8;
@@ -34,7 +36,7 @@
 
 /// What the request wants.
 #[derive(Clone, Debug)]
-pub struct SettleAsk {
+pub struct SettleRequest {
     /// The key.
     pub key: RequestKey,
     /// True when it may run more than once.
@@ -48,7 +50,7 @@
 /// What the entry has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettleAction {
-    /// Ask this home to give the key to this executor; report by [`Settlement::claimed`].
+    /// Ask this home to give the key to this executor; report by [`Settlement::record_claim_reply`].
     Claim {
         /// The home.
         home: EndpointName,
@@ -57,7 +59,7 @@
         /// The revision of the list that both were taken from.
         revision: u64,
     },
-    /// Ask these agents to bar the key; report each by [`Settlement::heard`].
+    /// Ask these agents to bar the key; report each by [`Settlement::record_bar_reply`].
     Bar {
         /// The agents.
         agents: Vec<EndpointName>,
@@ -66,7 +68,7 @@
         /// The revision of the list that they were taken from.
         revision: u64,
     },
-    /// Take the list anew, pause for a moment, and call [`Settlement::again`].
+    /// Take the list anew, pause for a moment, and call [`Settlement::next_round`].
     Pause,
     /// Done.
     Done(Settled),
@@ -86,16 +88,16 @@
         ran: bool,
     },
     /// It may not run, for that reason.
-    Not(Unsettled),
+    Failed(SettleFailure),
 }
 
 /// Why a key may not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unsettled {
+pub enum SettleFailure {
     /// It is older than the retry horizon.
     TooOld,
     /// It ran, and its answer cannot be had.
-    RanWithoutAnswer(Ran),
+    RanWithoutAnswer(RunStatus),
     /// An endpoint that may have run it cannot tell.
     Unknown,
     /// A table is full.
@@ -116,12 +118,12 @@
 ///
 /// ```
 /// use bulrushusher_once::{
-///     Ballot, ClaimReply, ListView, Owner, SettleAction, SettleAsk, Settled, Settlement,
+///     Ballot, ClaimReply, ListView, Owner, SettleAction, SettleRequest, Settled, Settlement,
 /// };
 /// use bulrushusher_time::Millis;
 /// use bulrushusher_world::{EndpointName, EntryName, RequestKey};
 /// let name = |text| EndpointName::try_from(text).unwrap();
-/// let ask = SettleAsk {
+/// let ask = SettleRequest {
 ///     key: RequestKey::try_from("order-7").unwrap(),
 ///     idempotent: false,
 ///     owner: Owner {
@@ -132,12 +134,12 @@
 /// let view = ListView { revision: 3, executors: vec![name("d1")], ..ListView::default() };
 /// let mut settlement = Settlement::claim(ask, view, name("d1"));
 /// assert!(matches!(settlement.action(), SettleAction::Claim { .. }));
-/// settlement.claimed(Some(ClaimReply::Recorded));
+/// settlement.record_claim_reply(Some(ClaimReply::Recorded));
 /// assert_eq!(settlement.action(), SettleAction::Done(Settled::Run(Ballot::Home)));
 /// ```
 #[derive(Debug)]
 pub struct Settlement {
-    ask: SettleAsk,
+    ask: SettleRequest,
     view: ListView,
     rounds: u32,
     state: State,
@@ -145,18 +147,18 @@
 
 impl Settlement {
     /// Begins with a claim at the key's home for `executor`.
-    pub fn claim(ask: SettleAsk, view: ListView, executor: EndpointName) -> Settlement {
+    pub fn claim(ask: SettleRequest, view: ListView, executor: EndpointName) -> Settlement {
         // The only endpoint is the home of its own keys.
         let home = view.home(&ask.key).or(view.executors.first()).cloned();
         let state = match home {
             Some(home) => State::Claiming { home, executor },
-            None => State::Done(Settled::Not(Unsettled::Unknown)),
+            None => State::Done(Settled::Failed(SettleFailure::Unknown)),
         };
         Settlement { ask, view, rounds: 0, state }
     }
 
     /// Begins with a bar above a ballot.
-    pub fn bar(ask: SettleAsk, view: ListView, above: Ballot) -> Settlement {
+    pub fn bar(ask: SettleRequest, view: ListView, above: Ballot) -> Settlement {
         let state = State::Pausing { above: above.clone() };
         let mut settlement = Settlement { ask, view, rounds: 0, state };
         settlement.begin_round(&above);
@@ -171,7 +173,7 @@
                 SettleAction::Claim { home: home.clone(), executor: executor.clone(), revision }
             }
             State::Barring(round) => SettleAction::Bar {
-                agents: round.awaited().cloned().collect(),
+                agents: round.pending().cloned().collect(),
                 ballot: round.ballot().clone(),
                 revision,
             },
@@ -181,15 +183,15 @@
     }
 
     /// The home's answer to the claim; `None` when it did not answer.
-    pub fn claimed(&mut self, reply: Option<ClaimReply>) {
+    pub fn record_claim_reply(&mut self, reply: Option<ClaimReply>) {
         if !matches!(self.state, State::Claiming { .. }) {
             return;
         }
         let settled = match reply {
             Some(ClaimReply::Recorded) => Settled::Run(Ballot::Home),
             Some(ClaimReply::Held(executor)) => Settled::Attach { executor, ran: false },
-            Some(ClaimReply::TooOld) => Settled::Not(Unsettled::TooOld),
-            Some(ClaimReply::TableFull) => Settled::Not(Unsettled::TableFull),
+            Some(ClaimReply::TooOld) => Settled::Failed(SettleFailure::TooOld),
+            Some(ClaimReply::TableFull) => Settled::Failed(SettleFailure::TableFull),
             Some(ClaimReply::InDoubt | ClaimReply::OtherList { .. }) | None => {
                 self.begin_round(&Ballot::Home);
                 return;
@@ -200,14 +202,14 @@
 
     /// An agent's answer to the bar at `ballot`; `None` when it did not answer. Answers to other
     /// ballots are ignored.
-    pub fn heard(&mut self, agent: &EndpointName, ballot: &Ballot, heard: Option<Heard>) {
+    pub fn record_bar_reply(&mut self, agent: &EndpointName, ballot: &Ballot, heard: Option<BarResponse>) {
         let State::Barring(round) = &mut self.state else { return };
         if round.ballot() != ballot {
             return;
         }
         match heard {
-            Some(heard) => round.reply(agent, heard),
-            None => round.unreachable(agent),
+            Some(heard) => round.record_reply(agent, heard),
+            None => round.record_unreachable(agent),
         }
         if let Some(verdict) = round.verdict() {
             let ballot = ballot.clone();
@@ -216,7 +218,7 @@
     }
 
     /// After a pause: another round, by the list as it is now.
-    pub fn again(&mut self, view: ListView) {
+    pub fn next_round(&mut self, view: ListView) {
         let State::Pausing { above } = &self.state else { return };
         let above = above.clone();
         self.view = view;
@@ -226,7 +228,7 @@
     fn begin_round(&mut self, above: &Ballot) {
         self.rounds += 1;
         if self.rounds > MAX_ROUNDS {
-            self.state = State::Done(Settled::Not(Unsettled::Contended));
+            self.state = State::Done(Settled::Failed(SettleFailure::Contended));
             return;
         }
         let ballot = above.next(&self.ask.owner);
@@ -241,20 +243,20 @@
     fn conclude(&mut self, verdict: BarVerdict, ballot: Ballot) {
         let settled = match verdict {
             BarVerdict::Clear => Settled::Run(ballot),
-            BarVerdict::Ran(executor, Ran::Running | Ran::Finished) => {
+            BarVerdict::Ran(executor, RunStatus::Running | RunStatus::Finished) => {
                 Settled::Attach { executor, ran: true }
             }
             BarVerdict::Ran(..) | BarVerdict::Unknown if self.ask.idempotent => {
                 Settled::Run(ballot)
             }
-            BarVerdict::Ran(_, ran) => Settled::Not(Unsettled::RanWithoutAnswer(ran)),
-            BarVerdict::Unknown => Settled::Not(Unsettled::Unknown),
-            BarVerdict::TableFull => Settled::Not(Unsettled::TableFull),
+            BarVerdict::Ran(_, ran) => Settled::Failed(SettleFailure::RanWithoutAnswer(ran)),
+            BarVerdict::Unknown => Settled::Failed(SettleFailure::Unknown),
+            BarVerdict::TableFull => Settled::Failed(SettleFailure::TableFull),
             BarVerdict::Higher(above) => {
                 self.state = State::Pausing { above };
                 return;
             }
-            BarVerdict::OldList(_) => {
+            BarVerdict::StaleList(_) => {
                 self.state = State::Pausing { above: ballot };
                 return;
             }
--- a/crates/bulrushusher_once/tests/model/mod.rs
+++ b/crates/bulrushusher_once/tests/model/mod.rs
@@ -11,8 +11,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bulrushusher_once::{
-    Ballot, ClaimReply, Heard, KeyRecords, ListView, OrderReply, Owner, Ran, RecordsConfig,
-    ServiceList, SettleAction, SettleAsk, Settled, Settlement, Vouch,
+    Ballot, BarResponse, ClaimReply, KeyRecords, ListView, OrderReply, Owner, RecordCoverage,
+    RecordsConfig, RunStatus, ServiceList, SettleAction, SettleRequest, Settled, Settlement,
 };
 use bulrushusher_time::Millis;
 use bulrushusher_world::{EndpointName, EntryName, RequestKey};
@@ -151,8 +151,8 @@
     fn fresh_agent(&mut self, n: usize, clock_ahead: u64) -> Agent {
         self.next += 1;
         let since = self.now.plus(Millis(clock_ahead));
-        let vouch = Vouch { since, skew: Millis(SKEW), horizon: Millis(HORIZON) };
-        let cfg = RecordsConfig { max_keys: 100, max_answer_bytes: 1_000, vouch };
+        let coverage = RecordCoverage { since, skew: Millis(SKEW), horizon: Millis(HORIZON) };
+        let cfg = RecordsConfig { max_keys: 100, max_answer_bytes: 1_000, coverage };
         Agent {
             records: KeyRecords::new(agent_name(n), cfg),
             incarnation: self.next,
@@ -278,7 +278,7 @@
         let reservation = self.reserve(executor);
         let now = self.agent_now(executor);
         let in_doubt = self.agents[executor].records.is_in_doubt(&name, now);
-        let ask = SettleAsk {
+        let ask = SettleRequest {
             key: name,
             idempotent: false,
             owner: Owner {
@@ -336,7 +336,7 @@
                 self.note("attached");
                 self.attempts[attempt].state = State::Over;
             }
-            SettleAction::Done(Settled::Not(_)) => {
+            SettleAction::Done(Settled::Failed(_)) => {
                 self.note("not settled");
                 self.attempts[attempt].state = State::Over;
             }
@@ -421,14 +421,14 @@
     fn claimed(&mut self, attempt: usize, reply: Option<ClaimReply>) {
         let Some(reply) = reply else { return };
         if let State::Settling(settlement) = &mut self.attempts[attempt].state {
-            settlement.claimed(Some(reply));
+            settlement.record_claim_reply(Some(reply));
             self.ask(attempt);
         }
     }
 
-    fn heard(&mut self, attempt: usize, agent: usize, ballot: &Ballot, heard: Option<Heard>) {
+    fn heard(&mut self, attempt: usize, agent: usize, ballot: &Ballot, heard: Option<BarResponse>) {
         if let State::Settling(settlement) = &mut self.attempts[attempt].state {
-            settlement.heard(&agent_name(agent), ballot, heard);
+            settlement.record_bar_reply(&agent_name(agent), ballot, heard);
             if !matches!(settlement.action(), SettleAction::Bar { .. }) {
                 self.ask(attempt);
             }
@@ -452,7 +452,7 @@
         match message.body {
             Body::Claim { .. } => {
                 if let State::Settling(settlement) = &mut self.attempts[message.attempt].state {
-                    settlement.claimed(None);
+                    settlement.record_claim_reply(None);
                     self.ask(message.attempt);
                 }
             }
@@ -476,7 +476,7 @@
                 if settlement.action() == SettleAction::Pause {
                     let view = self.view(entry);
                     let State::Settling(settlement) = &mut self.attempts[at].state else { return };
-                    settlement.again(view);
+                    settlement.next_round(view);
                     self.ask(at);
                 }
             }
@@ -513,7 +513,7 @@
         };
         let key = self.keys[self.attempts[at].key].key.clone();
         let agent = &mut self.agents[agent];
-        self.attempts[at].state = match agent.records.look(&key) {
+        self.attempts[at].state = match agent.records.run_status(&key) {
             Some(_) => State::Over,
             None if agent.incarnation == incarnation => {
                 agent.reservations.remove(&reservation);
@@ -565,10 +565,10 @@
     }
 
     fn ask_peers(&mut self, agent: usize) {
-        for peer in self.agents[agent].records.unacknowledged() {
+        for peer in self.agents[agent].records.pending_acks() {
             let revision = self.agents[World::index(&peer)].records.revision();
             let now = self.agent_now(agent);
-            self.agents[agent].records.acknowledged(&peer, revision, now);
+            self.agents[agent].records.record_ack(&peer, revision, now);
         }
     }
 
@@ -578,7 +578,7 @@
             match whole {
                 // Larger than the bound on answers, so that some are dropped.
                 true => agent.records.finish(&key, 600),
-                false => agent.records.end(&key, Ran::Cancelled),
+                false => agent.records.end(&key, RunStatus::Cancelled),
             }
         }
     }
--- a/crates/bulrushusher_once/tests/rules.rs
+++ b/crates/bulrushusher_once/tests/rules.rs
@@ -1,15 +1,16 @@
 //! Rules that fuzzing reaches too rarely, each alone.
 
 use bulrushusher_once::{
-    Ballot, BarReply, BarRound, BarVerdict, ClaimReply, Heard, HomeBar, KeyRecords, ListView,
-    OrderReply, Owner, Ran, RecordsConfig, ServiceList, SettleAction, SettleAsk, Settled,
-    Settlement, Unsettled, Vouch, home_of,
+    Ballot, BarReply, BarResponse, BarRound, BarVerdict, ClaimReply, HomeBarReply, KeyRecords,
+    ListView, OrderReply, Owner, RecordCoverage, RecordsConfig, RunStatus, ServiceList,
+    SettleAction, SettleFailure, SettleRequest, Settled, Settlement, home_of,
 };
 use bulrushusher_time::Millis;
 use bulrushusher_world::{EndpointName, EntryName, RequestKey};
 
 const NOW: Millis = Millis(100_000);
-const VOUCH: Vouch = Vouch { since: Millis(0), skew: Millis(10), horizon: Millis(60_000) };
+const COVERAGE: RecordCoverage =
+    RecordCoverage { since: Millis(0), skew: Millis(10), horizon: Millis(60_000) };
 
 fn name(text: &str) -> EndpointName {
     EndpointName::try_from(text).unwrap()
@@ -31,11 +32,11 @@
 }
 
 fn records(me: &str, list: &ServiceList) -> KeyRecords {
-    let cfg = RecordsConfig { max_keys: 100, max_answer_bytes: 1_000, vouch: VOUCH };
+    let cfg = RecordsConfig { max_keys: 100, max_answer_bytes: 1_000, coverage: COVERAGE };
     let mut records = KeyRecords::new(name(me), cfg);
     records.set_list(list.clone(), Millis(0));
-    for peer in records.unacknowledged() {
-        records.acknowledged(&peer, list.revision, Millis(0));
+    for peer in records.pending_acks() {
+        records.record_ack(&peer, list.revision, Millis(0));
     }
     records
 }
@@ -45,8 +46,12 @@
 }
 
 fn settlement(key: &RequestKey, view: &ServiceList, attempt: u64) -> Settlement {
-    let ask =
-        SettleAsk { key: key.clone(), idempotent: false, owner: owner(attempt), skew: Millis(10) };
+    let ask = SettleRequest {
+        key: key.clone(),
+        idempotent: false,
+        owner: owner(attempt),
+        skew: Millis(10),
+    };
     let view = ListView {
         revision: view.revision,
         executors: view.executors.clone(),
@@ -60,7 +65,7 @@
     let SettleAction::Bar { ballot, revision, .. } = settlement.action() else { panic!("no bar") };
     for (agent, records) in agents {
         let heard = records.bar(key, &ballot, revision, NOW);
-        settlement.heard(&name(agent), &ballot, Some(heard));
+        settlement.record_bar_reply(&name(agent), &ballot, Some(heard));
     }
 }
 
@@ -105,7 +110,7 @@
     let cfg = RecordsConfig {
         max_keys: 100,
         max_answer_bytes: 1_000,
-        vouch: Vouch { since: NOW, ..VOUCH },
+        coverage: RecordCoverage { since: NOW, ..COVERAGE },
     };
     let mut young = KeyRecords::new(name("b"), cfg);
     young.set_list(list.clone(), NOW);
@@ -113,16 +118,16 @@
     assert_eq!(young.order(&key, true, &Ballot::Home, NOW), OrderReply::InDoubt);
 }
 
-fn clean(earlier: Option<Ballot>, revision: u64) -> Heard {
-    Heard { reply: BarReply::Clean { earlier }, home: HomeBar::NotGiven, revision }
+fn clean(earlier: Option<Ballot>, revision: u64) -> BarResponse {
+    BarResponse { reply: BarReply::Clean { earlier }, home: HomeBarReply::NotGiven, revision }
 }
 
 /// The verdict of a round whose home `a` is unreachable, and where `b` answers.
-fn without_home(heard: Heard) -> BarVerdict {
+fn without_home(heard: BarResponse) -> BarVerdict {
     let ballot = Ballot::Home.next(&owner(1));
     let mut round = BarRound::new(ballot, 3, names(&["a", "b"]), Some(name("a")));
-    round.unreachable(&name("a"));
-    round.reply(&name("b"), heard);
+    round.record_unreachable(&name("a"));
+    round.record_reply(&name("b"), heard);
     round.verdict().unwrap()
 }
 
@@ -132,7 +137,7 @@
     let earlier = Some(Ballot::Home.next(&owner(9)));
     assert_eq!(without_home(clean(earlier, 3)), BarVerdict::Unknown, "another attempt was here");
     assert_eq!(without_home(clean(None, 2)), BarVerdict::Unknown, "another list was in force");
-    let given = Heard { home: HomeBar::Given(name("a")), ..clean(None, 3) };
+    let given = BarResponse { home: HomeBarReply::Given(name("a")), ..clean(None, 3) };
     assert_eq!(without_home(given), BarVerdict::Unknown, "it was given to the lost endpoint");
 }
 
@@ -146,14 +151,14 @@
     assert_eq!(b.take_dropped(), vec![key.clone()], "larger than the bound on answers");
     let mut again = settlement(&key, &list, 1);
     bar_at(&mut again, &key, &mut [("a", &mut a), ("b", &mut b)]);
-    let told = Unsettled::RanWithoutAnswer(Ran::AnswerGone);
-    assert_eq!(again.action(), SettleAction::Done(Settled::Not(told)));
+    let told = SettleFailure::RanWithoutAnswer(RunStatus::AnswerGone);
+    assert_eq!(again.action(), SettleAction::Done(Settled::Failed(told)));
 }
 
 #[test]
 fn a_full_table_refuses_and_does_not_grow() {
     let list = list(1, &["a", "b"]);
-    let cfg = RecordsConfig { max_keys: 2, max_answer_bytes: 1_000, vouch: VOUCH };
+    let cfg = RecordsConfig { max_keys: 2, max_answer_bytes: 1_000, coverage: COVERAGE };
     let mut b = KeyRecords::new(name("b"), cfg);
     b.set_list(list, Millis(0));
     let order = |b: &mut KeyRecords, n: u32| {
--- a/crates/bulrushusher_wire/src/control.rs
+++ b/crates/bulrushusher_wire/src/control.rs
@@ -1,7 +1,7 @@
 //! Control calls from an entry to an agent.
 
 use bulrushusher_admission::{Refusal, ReservationId};
-use bulrushusher_once::{Ballot, BarReply, ClaimReply, HomeBar, ServiceList};
+use bulrushusher_once::{Ballot, BarReply, ClaimReply, HomeBarReply, ServiceList};
 use bulrushusher_time::Millis;
 use bulrushusher_world::{Endpoint, EndpointName, EntryName, RequestKey, ServiceName};
 use jsonrpsee::core::RpcResult;
@@ -85,7 +85,7 @@
     /// What the agent knows as an executor.
     pub reply: BarReply,
     /// What the agent knows as a home.
-    pub home: HomeBar,
+    pub home: HomeBarReply,
     /// The highest revision of the endpoint list that the agent holds or heard of in a bar.
     pub revision: u64,
 }
--- a/crates/bulrushusher_wire/src/frame.rs
+++ b/crates/bulrushusher_wire/src/frame.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use bulrushusher_admission::{Refusal, ReservationId};
-use bulrushusher_once::{Ballot, Ran};
+use bulrushusher_once::{Ballot, RunStatus};
 use bulrushusher_world::RequestKey;
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -111,7 +111,7 @@
     #[display("it ran here ({ran}) and its answer cannot be had")]
     RanWithoutAnswer {
         /// How far it came.
-        ran: Ran,
+        ran: RunStatus,
     },
     /// Another ballot was promised; it was not run by this order.
     #[display("ballot {ballot} was promised, not run here")]
--- a/tools/bulrushusher_slopes/src/state.rs
+++ b/tools/bulrushusher_slopes/src/state.rs
@@ -6,7 +6,7 @@
 use bulrushusher_accounts::{Quota, QuotaBook, QuotaConfig, Sharing};
 use bulrushusher_admission::{Ask, AskId, Gate, GateConfig};
 use bulrushusher_once::{
-    Ballot, ExecutorConfig, ExecutorTable, HomeConfig, HomeTable, ServiceList, Vouch,
+    Ballot, ExecutorConfig, ExecutorTable, HomeConfig, HomeTable, RecordCoverage, ServiceList,
 };
 use bulrushusher_routing::{LoadHint, PairingConfig, PairingTable, PromptRequest};
 use bulrushusher_store::{Snapshot, StoredObject};
@@ -21,7 +21,8 @@
 const MODELS: usize = 33;
 /// The time in the keys made here.
 const NOW: Millis = Millis(0x01a2_37f0_596f);
-const VOUCH: Vouch = Vouch { since: Millis(0), skew: Millis(100), horizon: Millis(600_000) };
+const COVERAGE: RecordCoverage =
+    RecordCoverage { since: Millis(0), skew: Millis(100), horizon: Millis(600_000) };
 
 /// Slopes of state and time, each to be measured in a process of its own: memory that one has freed
 /// would be taken by the next, unseen.
@@ -213,8 +214,11 @@
 }
 
 fn executor(records: usize) -> ExecutorTable {
-    let cfg =
-        ExecutorConfig { max_records: records + 1, max_answer_bytes: usize::MAX, vouch: VOUCH };
+    let cfg = ExecutorConfig {
+        max_records: records + 1,
+        max_answer_bytes: usize::MAX,
+        coverage: COVERAGE,
+    };
     let mut table = ExecutorTable::new(cfg);
     for number in 0..records {
         table.order(&key(number), &Ballot::Home, NOW);
@@ -242,7 +246,7 @@
     slope("home records", "bytes", "record", RECORDS, |records| {
         bytes(|| {
             let me = EndpointName::try_from("d1").expect("a valid name");
-            let cfg = HomeConfig { max_records: records, vouch: VOUCH };
+            let cfg = HomeConfig { max_records: records, coverage: COVERAGE };
             let mut home = HomeTable::new(me.clone(), cfg);
             let executors = vec![me.clone()];
             home.set_list(ServiceList { revision: 1, executors, ..ServiceList::default() }, NOW);
