--- a/crates/bulrushusher_entry/src/agent_view.rs
+++ b/crates/bulrushusher_entry/src/agent_view.rs
@@ -80,13 +80,13 @@
     });
     for (endpoint, status) in due.iter().zip(join_all(beats).await) {
         let view = views.entry(endpoint.name.clone()).or_default();
-        let busy = shared.table.lock().was_used(&endpoint.name, now);
+        let busy = shared.table.lock().recently_used(&endpoint.name, now);
         view.due = now.plus(if busy { BUSY_INTERVAL } else { IDLE_INTERVAL });
         match status {
             Some(status) => {
                 shared.hear(&endpoint.name, status.load);
                 let (running, waiting) = status.engine_load;
-                shared.table.lock().hear_engine(&endpoint.name, running + waiting);
+                shared.table.lock().update_engine_load(&endpoint.name, running + waiting);
                 view.revision = status.revision;
             }
             None => *view = View { revision: 0, due: now.plus(BUSY_INTERVAL) },
--- a/crates/bulrushusher_entry/src/entry.rs
+++ b/crates/bulrushusher_entry/src/entry.rs
@@ -140,10 +140,10 @@
             places: load.places,
             waiting: load.waiting,
             expected_wait: load.expected_wait,
-            heard: self.clock.now(),
+            reported_at: self.clock.now(),
             ..LoadHint::default()
         };
-        self.table.lock().hear(endpoint, hint);
+        self.table.lock().update_load(endpoint, hint);
     }
 
     /// A name that no other stream or run of any entry has.
--- a/crates/bulrushusher_entry/src/execution.rs
+++ b/crates/bulrushusher_entry/src/execution.rs
@@ -207,7 +207,8 @@
             work,
         };
         place.ordered();
-        let before = self.prompt.map_or(0, |prompt| self.shared.quarantine.lock().crashes(prompt));
+        let before =
+            self.prompt.map_or(0, |prompt| self.shared.quarantine.lock().crash_count(prompt));
         let passed_before = self.passed;
         let mut reader = self.reader(&endpoint);
         let end = reader.run(&order, &mut open).await;
@@ -226,7 +227,7 @@
     fn note_crash(&self, endpoint: &Endpoint, before: u32) {
         let Some(prompt) = self.prompt else { return };
         let now = self.shared.clock.now();
-        let verdict = self.shared.quarantine.lock().note_crash(prompt, before, now);
+        let verdict = self.shared.quarantine.lock().record_crash(prompt, before, now);
         log::warn!(
             "{LOG} the engine of {} ended on {} digest={prompt}: {verdict:?}",
             endpoint.name,
@@ -238,14 +239,16 @@
     pub(crate) fn refuse_quarantined(&self) -> Result<(), ApiError> {
         let Some(prompt) = self.prompt else { return Ok(()) };
         let now = self.shared.clock.now();
-        let Some(left) = self.shared.quarantine.lock().left(prompt, now) else { return Ok(()) };
+        let Some(left) = self.shared.quarantine.lock().remaining(prompt, now) else {
+            return Ok(());
+        };
         let message = "engines ended on this prompt each time it was run";
         Err(ApiError::not_run(ErrorCode::Quarantined, message).after(left))
     }
 
     fn note_answer(&self) {
         if let Some(prompt) = self.prompt {
-            self.shared.quarantine.lock().note_answer(prompt);
+            self.shared.quarantine.lock().record_answer(prompt);
         }
     }
 
--- a/crates/bulrushusher_entry/src/guards.rs
+++ b/crates/bulrushusher_entry/src/guards.rs
@@ -20,7 +20,7 @@
 
 impl HeldPlace {
     pub(crate) fn new(shared: &Arc<Shared>, chosen: Chosen, reserved: Reserved) -> HeldPlace {
-        shared.table.lock().sent(&chosen, shared.clock.now());
+        shared.table.lock().record_sent(&chosen, shared.clock.now());
         HeldPlace { shared: Arc::clone(shared), chosen, reserved, ordered: false }
     }
 
@@ -32,7 +32,7 @@
 
 impl Drop for HeldPlace {
     fn drop(&mut self) {
-        self.shared.table.lock().done(&self.chosen);
+        self.shared.table.lock().record_done(&self.chosen);
         if self.ordered {
             return;
         }
--- a/crates/bulrushusher_entry/src/operator.rs
+++ b/crates/bulrushusher_entry/src/operator.rs
@@ -200,7 +200,11 @@
             used: hint.used.into(),
             places: hint.places.into(),
             waiting: hint.waiting.into(),
-            heard_ms_ago: if hint.heard.0 == 0 { u64::MAX } else { now.since(hint.heard).0 },
+            heard_ms_ago: if hint.reported_at.0 == 0 {
+                u64::MAX
+            } else {
+                now.since(hint.reported_at).0
+            },
         });
         let endpoints = endpoints.collect();
         drop(table);
--- a/crates/bulrushusher_entry/src/prompt_task.rs
+++ b/crates/bulrushusher_entry/src/prompt_task.rs
@@ -130,7 +130,7 @@
     let Some((kv, _result)) = compute(shared, prompt, &execution.job, &mut prefill).await else {
         return Ok(Step::Again);
     };
-    shared.table.lock().computed(&prefill.chosen, blocks);
+    shared.table.lock().record_prefill(&prefill.chosen, blocks);
     let mut decode = match decode {
         Some(place) => place,
         None => {
--- a/crates/bulrushusher_gateway/src/knowledge/crashes.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/crashes.rs
@@ -1,6 +1,8 @@
 //! Which requests crash runners, as this gateway and its peers saw it.
 
-use bulrushusher_routing::{CrashNews, Quarantine, Quarantined, RequestDigest, Suspect, Verdict};
+use bulrushusher_routing::{
+    CrashUpdate, CrashVerdict, Quarantine, Quarantined, RequestDigest, Suspect,
+};
 use bulrushusher_time::Millis;
 
 use super::Knowledge;
@@ -10,50 +12,51 @@
 pub(super) struct KnownCrashes {
     pub quarantine: Quarantine,
     /// For the peers.
-    to_tell: CrashNews,
+    to_tell: CrashUpdate,
     /// Found out by this gateway, for the store.
     to_write: Vec<Quarantined>,
 }
 
 impl KnownCrashes {
     pub(super) fn new(quarantine: Quarantine) -> KnownCrashes {
-        KnownCrashes { quarantine, to_tell: CrashNews::default(), to_write: Vec::new() }
+        KnownCrashes { quarantine, to_tell: CrashUpdate::default(), to_write: Vec::new() }
     }
 }
 
 impl Knowledge {
     /// How long the request is still kept from runners; `None` when it may run.
     pub(crate) fn quarantine_left(&self, digest: RequestDigest) -> Option<Millis> {
-        self.crashes.lock().quarantine.left(digest, self.now())
+        self.crashes.lock().quarantine.remaining(digest, self.now())
     }
 
     /// Crashes in a row of a request that is sent to a runner now.
     pub(crate) fn crashes_before(&self, digest: RequestDigest) -> u32 {
-        self.crashes.lock().quarantine.crashes(digest)
+        self.crashes.lock().quarantine.crash_count(digest)
     }
 
     /// True when a runner that ended so long after it began a request may have ended on it.
     pub(crate) fn may_blame(&self, ran_for: Millis) -> bool {
-        self.crashes.lock().quarantine.may_blame(ran_for)
+        self.crashes.lock().quarantine.in_crash_window(ran_for)
     }
 
     /// A runner ended on a request that had crashed `before` others when it was sent.
-    pub(crate) fn note_crash(&self, digest: RequestDigest, before: u32) -> Verdict {
+    pub(crate) fn note_crash(&self, digest: RequestDigest, before: u32) -> CrashVerdict {
         let now = self.now();
         let mut crashes = self.crashes.lock();
-        let verdict = crashes.quarantine.note_crash(digest, before, now);
+        let verdict = crashes.quarantine.record_crash(digest, before, now);
         let news = match verdict {
-            Verdict::Known => return verdict,
-            Verdict::Suspected { crashes } => {
-                CrashNews { suspects: vec![Suspect { digest, crashes }], ..CrashNews::default() }
-            }
-            Verdict::Quarantined => {
+            CrashVerdict::Known => return verdict,
+            CrashVerdict::Suspected { crashes } => CrashUpdate {
+                suspects: vec![Suspect { digest, crashes }],
+                ..CrashUpdate::default()
+            },
+            CrashVerdict::Quarantined => {
                 let held = Quarantined { digest, since: now };
                 crashes.to_write.push(held);
-                CrashNews { quarantined: vec![held], ..CrashNews::default() }
+                CrashUpdate { quarantined: vec![held], ..CrashUpdate::default() }
             }
         };
-        crashes.to_tell.add(news);
+        crashes.to_tell.merge(news);
         drop(crashes);
         self.crashes_due.notify_one();
         self.quarantine_due.notify_one();
@@ -63,8 +66,8 @@
     /// A request was answered.
     pub(crate) fn note_answer(&self, digest: RequestDigest) {
         let mut crashes = self.crashes.lock();
-        if crashes.quarantine.note_answer(digest) {
-            crashes.to_tell.add(CrashNews { cleared: vec![digest], ..CrashNews::default() });
+        if crashes.quarantine.record_answer(digest) {
+            crashes.to_tell.merge(CrashUpdate { cleared: vec![digest], ..CrashUpdate::default() });
             drop(crashes);
             log::info!("quarantine: cleared digest={digest} cause=\"it was answered\"");
             self.crashes_due.notify_one();
@@ -72,12 +75,12 @@
     }
 
     /// Takes in a peer's news; returns what it does not know of the same requests.
-    pub(crate) fn hear_crashes(&self, peer: &str, news: &CrashNews) -> CrashNews {
+    pub(crate) fn hear_crashes(&self, peer: &str, news: &CrashUpdate) -> CrashUpdate {
         let now = self.now();
         let mut crashes = self.crashes.lock();
-        let before = crashes.quarantine.all_held(now).len();
-        let beyond = crashes.quarantine.hear(news, now);
-        let held = crashes.quarantine.all_held(now).len();
+        let before = crashes.quarantine.entries(now).len();
+        let beyond = crashes.quarantine.apply_update(news, now);
+        let held = crashes.quarantine.entries(now).len();
         drop(crashes);
         if held > before {
             log::info!("quarantine: heard peer={peer} held={held} before={before}");
@@ -89,11 +92,11 @@
     pub(crate) fn hold_quarantined(&self, held: &[Quarantined]) -> usize {
         let now = self.now();
         let mut crashes = self.crashes.lock();
-        held.iter().filter(|held| crashes.quarantine.hold(**held, now)).count()
+        held.iter().filter(|held| crashes.quarantine.insert(**held, now)).count()
     }
 
     /// What peers have yet to be told.
-    pub(crate) fn take_crash_news(&self) -> CrashNews {
+    pub(crate) fn take_crash_news(&self) -> CrashUpdate {
         std::mem::take(&mut self.crashes.lock().to_tell)
     }
 
@@ -118,6 +121,6 @@
 
     /// All requests in quarantine.
     pub(crate) fn all_quarantined(&self) -> Vec<Quarantined> {
-        self.crashes.lock().quarantine.all_held(self.now())
+        self.crashes.lock().quarantine.entries(self.now())
     }
 }
--- a/crates/bulrushusher_gateway/src/knowledge/mod.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/mod.rs
@@ -335,7 +335,7 @@
 
     fn with_budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let gateways = self.runs.lock().peers(self.now()) + 1;
-        let cfg = self.cfg.load().retries.part(gateways.max(LEAST_RETRY_SHARERS));
+        let cfg = self.cfg.load().retries.split(gateways.max(LEAST_RETRY_SHARERS));
         let mut budgets = self.budgets.lock();
         let budget = budgets.entry(service.clone()).or_insert_with(|| RetryBudget::new(cfg));
         budget.reconfigure(cfg);
--- a/crates/bulrushusher_gateway/src/peers/report_codec.rs
+++ b/crates/bulrushusher_gateway/src/peers/report_codec.rs
@@ -5,7 +5,7 @@
 //! heard, and comes back with its next version.
 
 use bulrushusher_forward::{DeltaRequest, GatewayChanges, GatewayReport};
-use bulrushusher_routing::CrashNews;
+use bulrushusher_routing::CrashUpdate;
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
@@ -35,9 +35,9 @@
     /// It missed a report, and asks for a whole one.
     Missed,
     /// Requests that crash runners.
-    Crashes(CrashNews),
+    Crashes(CrashUpdate),
     /// What it knows beyond the news that it was told.
-    CrashesBeyond(CrashNews),
+    CrashesBeyond(CrashUpdate),
     /// What a relay passes on of the store's changes.
     Store(StoreNews),
     /// It missed changes of the runners' list, and asks a relay for them.
--- a/crates/bulrushusher_gateway/src/peers/speaking.rs
+++ b/crates/bulrushusher_gateway/src/peers/speaking.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::AtomicU64;
 
 use bulrushusher_forward::{ChangesNews, GatewayChanges, GatewayReport};
-use bulrushusher_routing::CrashNews;
+use bulrushusher_routing::CrashUpdate;
 use bulrushusher_time::Millis;
 use tokio::net::UdpSocket;
 
@@ -183,7 +183,7 @@
 
     /// Tells of requests that crash runners, at once and then some times more, as a datagram may be lost.
     async fn tell_crashes(&self, socket: &UdpSocket) {
-        let mut news = CrashNews::default();
+        let mut news = CrashUpdate::default();
         let mut times = 0;
         loop {
             let due = self.knowledge.crashes_due.notified();
@@ -195,12 +195,12 @@
             if !new.is_empty() {
                 times = CRASHES_TOLD;
             }
-            news.add(new);
+            news.merge(new);
             let peers = self.announcer.known.lock().all();
             self.write(socket, Word::Crashes(news.clone()), &peers).await;
             times = times.saturating_sub(1);
             if times == 0 {
-                news = CrashNews::default();
+                news = CrashUpdate::default();
             }
         }
     }
--- a/crates/bulrushusher_gateway/src/runners/crashes.rs
+++ b/crates/bulrushusher_gateway/src/runners/crashes.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bulrushusher_forward::{RequestId, Runner};
-use bulrushusher_routing::{RequestDigest, Verdict};
+use bulrushusher_routing::{CrashVerdict, RequestDigest};
 use bulrushusher_time::Millis;
 use hyper::StatusCode;
 
@@ -68,9 +68,9 @@
     fn note_crash<D: Dialect>(&self, cx: &Router<D>, runner: &Runner, ran_for: Millis, sign: &str) {
         let verdict = cx.knowledge.note_crash(self.digest, self.before);
         let (word, crashes) = match verdict {
-            Verdict::Suspected { crashes } => ("suspected", crashes),
-            Verdict::Quarantined => ("quarantined", self.before + 1),
-            Verdict::Known => ("known", self.before),
+            CrashVerdict::Suspected { crashes } => ("suspected", crashes),
+            CrashVerdict::Quarantined => ("quarantined", self.before + 1),
+            CrashVerdict::Known => ("known", self.before),
         };
         cx.metrics.crash(word);
         log::info!(
--- a/crates/bulrushusher_gateway/src/settings.rs
+++ b/crates/bulrushusher_gateway/src/settings.rs
@@ -342,8 +342,8 @@
             return_after: values.millis("waiting", "return_after_ms"),
             return_spread: values.real("waiting", "return_spread"),
             quarantine: QuarantineConfig {
-                crashes: values.count("quarantine", "crashes") as u32,
-                lasts: Millis((values.real("quarantine", "lasts_s") * 1_000.0) as u64),
+                crash_threshold: values.count("quarantine", "crashes") as u32,
+                duration: Millis((values.real("quarantine", "lasts_s") * 1_000.0) as u64),
                 ..QuarantineConfig::default()
             },
             gateways: GatewaysConfig {
--- a/crates/bulrushusher_routing/benches/choose.rs
+++ b/crates/bulrushusher_routing/benches/choose.rs
@@ -30,8 +30,8 @@
     table.set_endpoints(endpoints.clone());
     for (number, endpoint) in endpoints.iter().enumerate() {
         let used = (number * 7 % 20) as u32;
-        let hint = LoadHint { used, places: 20, heard: Millis(1_000), ..LoadHint::default() };
-        table.hear(&endpoint.name, hint);
+        let hint = LoadHint { used, places: 20, reported_at: Millis(1_000), ..LoadHint::default() };
+        table.update_load(&endpoint.name, hint);
     }
     table
 }
--- a/crates/bulrushusher_routing/src/lib.rs
+++ b/crates/bulrushusher_routing/src/lib.rs
@@ -20,7 +20,7 @@
 };
 pub use policy::Policy;
 pub use prefix::{PrefixConfig, PrefixIndex};
-pub use quarantine::{CrashNews, Quarantine, QuarantineConfig, Quarantined, Suspect, Verdict};
+pub use quarantine::{CrashUpdate, Quarantine, QuarantineConfig, Quarantined, Suspect, CrashVerdict};
 pub use retry::{RetryBudget, RetryConfig};
 
 /// The common types in one `use`.
--- a/crates/bulrushusher_routing/src/pairing.rs
+++ b/crates/bulrushusher_routing/src/pairing.rs
@@ -69,7 +69,7 @@
 pub struct Chosen {
     /// The runner.
     pub endpoint: Endpoint,
-    /// Where the table holds it; for [`PairingTable::sent`] and [`PairingTable::done`].
+    /// Where the table holds it; for [`PairingTable::record_sent`] and [`PairingTable::record_done`].
     pub slot: usize,
 }
 
@@ -174,7 +174,7 @@
     }
 
     /// True when the service has any endpoint of that role, leaving or not.
-    pub fn has(&self, service: &ServiceName, role: Role) -> bool {
+    pub fn has_endpoint(&self, service: &ServiceName, role: Role) -> bool {
         let of = |slot: &Slot| slot.endpoint.service == *service && slot.endpoint.role == role;
         self.slots.iter().any(|slot| slot.listed && of(slot))
     }
@@ -234,45 +234,45 @@
         Ok(self.chosen(at))
     }
 
-    /// A runner told its load; `hint.own` and `hint.own_since` are ignored.
-    pub fn hear(&mut self, endpoint: &EndpointName, hint: LoadHint) {
+    /// A runner told its load; `hint.own_in_flight` and `hint.own_since_report` are ignored.
+    pub fn update_load(&mut self, endpoint: &EndpointName, hint: LoadHint) {
         let Some(at) = self.by_name.get(endpoint) else { return };
         let held = &mut self.slots[*at].hint;
-        *held = LoadHint { own: held.own, own_since: 0, engine_load: held.engine_load, ..hint };
+        *held = LoadHint { own_in_flight: held.own_in_flight, own_since_report: 0, engine_load: held.engine_load, ..hint };
     }
 
     /// A runner told what its engine reports.
-    pub fn hear_engine(&mut self, endpoint: &EndpointName, engine_load: u32) {
+    pub fn update_engine_load(&mut self, endpoint: &EndpointName, engine_load: u32) {
         if let Some(at) = self.by_name.get(endpoint) {
             self.slots[*at].hint.engine_load = engine_load;
         }
     }
 
     /// True when a request was sent to the runner lately, or is there now.
-    pub fn was_used(&self, endpoint: &EndpointName, now: Millis) -> bool {
+    pub fn recently_used(&self, endpoint: &EndpointName, now: Millis) -> bool {
         const LATELY: Millis = Millis(10_000);
         let slot = self.by_name.get(endpoint).map(|at| &self.slots[*at]);
-        slot.is_some_and(|slot| slot.hint.own > 0 || now.since(slot.last_sent) < LATELY)
+        slot.is_some_and(|slot| slot.hint.own_in_flight > 0 || now.since(slot.last_sent) < LATELY)
     }
 
     /// A request was sent to a chosen runner.
-    pub fn sent(&mut self, chosen: &Chosen, now: Millis) {
+    pub fn record_sent(&mut self, chosen: &Chosen, now: Millis) {
         self.slots[chosen.slot].last_sent = now;
         let hint = &mut self.slots[chosen.slot].hint;
-        hint.own += 1;
-        hint.own_since += 1;
+        hint.own_in_flight += 1;
+        hint.own_since_report += 1;
     }
 
     /// A request sent to a chosen runner is over there.
-    pub fn done(&mut self, chosen: &Chosen) {
+    pub fn record_done(&mut self, chosen: &Chosen) {
         let hint = &mut self.slots[chosen.slot].hint;
-        hint.own = hint.own.saturating_sub(1);
-        hint.own_since = hint.own_since.saturating_sub(1);
+        hint.own_in_flight = hint.own_in_flight.saturating_sub(1);
+        hint.own_since_report = hint.own_since_report.saturating_sub(1);
     }
 
     /// A runner computed a prompt's blocks.
-    pub fn computed(&mut self, chosen: &Chosen, blocks: &[u64]) {
-        self.prefixes.note(blocks, chosen.slot);
+    pub fn record_prefill(&mut self, chosen: &Chosen, blocks: &[u64]) {
+        self.prefixes.insert(blocks, chosen.slot);
     }
 
     fn rebuild_pools(&mut self) {
@@ -299,7 +299,7 @@
         let key = (service.clone(), role);
         let pool = match self.pools.get(&key) {
             Some(pool) => pool,
-            None if self.has(service, role) => &Vec::new(),
+            None if self.has_endpoint(service, role) => &Vec::new(),
             None => return Err(NotPlaced::UnknownService { service: service.clone() }),
         };
         let allowed = |at: &usize| !excluded.contains(&self.slots[*at].endpoint.name);
@@ -320,11 +320,11 @@
                 pool.iter().copied().filter(allowed).min_by_key(load)
             }
             Policy::PrefillFirst | Policy::Paired => {
-                let fullness =
-                    |at: usize| self.slots[at].hint.fullness(now, self.cfg.hint_half_life);
+                let utilization =
+                    |at: usize| self.slots[at].hint.utilization(now, self.cfg.hint_half_life);
                 few_choices(pool, self.cfg.choices, &mut self.rng)
                     .filter(allowed)
-                    .map(|at| (fullness(at), at))
+                    .map(|at| (utilization(at), at))
                     .min_by(|a, b| a.0.total_cmp(&b.0))
                     .map(|(_, at)| at)
                     .or_else(|| pool.iter().copied().find(allowed))
@@ -345,9 +345,9 @@
         if !usable || length < self.cfg.affinity_min_blocks {
             return best;
         }
-        let fullness = |at: usize| self.slots[at].hint.fullness(now, self.cfg.hint_half_life);
-        let allowed = fullness(best) + self.cfg.affinity_slack;
-        if fullness(at) <= allowed { at } else { best }
+        let utilization = |at: usize| self.slots[at].hint.utilization(now, self.cfg.hint_half_life);
+        let allowed = utilization(best) + self.cfg.affinity_slack;
+        if utilization(at) <= allowed { at } else { best }
     }
 }
 
--- a/crates/bulrushusher_routing/src/prefix.rs
+++ b/crates/bulrushusher_routing/src/prefix.rs
@@ -20,7 +20,7 @@
 /// ```
 /// use bulrushusher_routing::{PrefixConfig, PrefixIndex};
 /// let mut index = PrefixIndex::new(PrefixConfig::default());
-/// index.note(&[1, 2, 3], 7);
+/// index.insert(&[1, 2, 3], 7);
 /// assert_eq!(index.find(&[1, 2, 9]), Some((7, 2)));
 /// assert_eq!(index.find(&[9]), None);
 /// ```
@@ -45,7 +45,7 @@
     }
 
     /// `runner` computed `blocks`.
-    pub fn note(&mut self, blocks: &[u64], runner: usize) {
+    pub fn insert(&mut self, blocks: &[u64], runner: usize) {
         for block in blocks {
             if self.runners.insert(*block, runner).is_none() {
                 self.order.push_back(*block);
--- a/crates/bulrushusher_routing/src/quarantine.rs
+++ b/crates/bulrushusher_routing/src/quarantine.rs
@@ -17,15 +17,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuarantineConfig {
     /// A runner that ends within this time after it began a request may have ended on it.
-    pub begun_within: Millis,
+    pub crash_window: Millis,
     /// Crashes in a row that put a request into quarantine.
-    pub crashes: u32,
+    pub crash_threshold: u32,
     /// How long a request's crashes are remembered after the last one.
-    pub remembered: Millis,
+    pub suspect_ttl: Millis,
     /// How long a quarantine lasts.
-    pub lasts: Millis,
+    pub duration: Millis,
     /// Requests that are remembered, and those in quarantine, at most; the oldest are forgotten.
-    pub most: usize,
+    pub max_entries: usize,
 }
 
 impl Default for QuarantineConfig {
@@ -36,11 +36,11 @@
     /// hour is time for its owner to change it; a runner for each such request and hour is bearable.
     fn default() -> QuarantineConfig {
         QuarantineConfig {
-            begun_within: Millis(500),
-            crashes: 2,
-            remembered: Millis(600_000),
-            lasts: Millis(3_600_000),
-            most: 512,
+            crash_window: Millis(500),
+            crash_threshold: 2,
+            suspect_ttl: Millis(600_000),
+            duration: Millis(3_600_000),
+            max_entries: 512,
         }
     }
 }
@@ -66,7 +66,7 @@
 
 /// What gateways tell each other of crashes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashNews {
+pub struct CrashUpdate {
     /// Requests that have crashed runners.
     pub suspects: Vec<Suspect>,
     /// Requests that are run no more.
@@ -75,14 +75,14 @@
     pub cleared: Vec<RequestDigest>,
 }
 
-impl CrashNews {
+impl CrashUpdate {
     /// True when it says nothing.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty() && self.quarantined.is_empty() && self.cleared.is_empty()
     }
 
     /// Adds what other news say; they are the later ones.
-    pub fn add(&mut self, later: CrashNews) {
+    pub fn merge(&mut self, later: CrashUpdate) {
         self.suspects.retain(|suspect| !later.cleared.contains(&suspect.digest));
         for suspect in later.suspects {
             self.suspects.retain(|known| known.digest != suspect.digest);
@@ -102,7 +102,7 @@
 
 /// What a crash means for its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CrashVerdict {
     /// It may run again.
     Suspected {
         /// Its crashes in a row.
@@ -123,18 +123,18 @@
 /// The requests that have crashed runners, as one gateway knows them.
 ///
 /// ```
-/// use bulrushusher_routing::{Quarantine, QuarantineConfig, RequestDigest, Verdict};
+/// use bulrushusher_routing::{Quarantine, QuarantineConfig, RequestDigest, CrashVerdict};
 /// use bulrushusher_time::Millis;
 /// let mut quarantine = Quarantine::new(QuarantineConfig::default());
 /// let digest = RequestDigest::of([b"/gen/x".as_slice()]);
 /// // Two runners end together while they run it: one crash.
-/// let before = quarantine.crashes(digest);
-/// assert_eq!(quarantine.note_crash(digest, before, Millis(50)), Verdict::Suspected { crashes: 1 });
-/// assert_eq!(quarantine.note_crash(digest, before, Millis(51)), Verdict::Suspected { crashes: 1 });
+/// let before = quarantine.crash_count(digest);
+/// assert_eq!(quarantine.record_crash(digest, before, Millis(50)), CrashVerdict::Suspected { crashes: 1 });
+/// assert_eq!(quarantine.record_crash(digest, before, Millis(51)), CrashVerdict::Suspected { crashes: 1 });
 /// // It is sent again, and another one ends.
-/// let before = quarantine.crashes(digest);
-/// assert_eq!(quarantine.note_crash(digest, before, Millis(900)), Verdict::Quarantined);
-/// assert!(quarantine.left(digest, Millis(1_000)).is_some());
+/// let before = quarantine.crash_count(digest);
+/// assert_eq!(quarantine.record_crash(digest, before, Millis(900)), CrashVerdict::Quarantined);
+/// assert!(quarantine.remaining(digest, Millis(1_000)).is_some());
 /// ```
 #[derive(Clone, Debug)]
 pub struct Quarantine {
@@ -155,45 +155,45 @@
     }
 
     /// True when a runner that ended so long after it began a request may have ended on it.
-    pub fn may_blame(&self, ran_for: Millis) -> bool {
-        ran_for <= self.cfg.begun_within
+    pub fn in_crash_window(&self, ran_for: Millis) -> bool {
+        ran_for <= self.cfg.crash_window
     }
 
     /// A request's crashes in a row; to be asked when it is sent to a runner.
-    pub fn crashes(&self, digest: RequestDigest) -> u32 {
+    pub fn crash_count(&self, digest: RequestDigest) -> u32 {
         self.suspects.get(&digest).map_or(0, |crashes| crashes.in_row)
     }
 
-    /// A runner ended on a request. `before` is what [`Quarantine::crashes`] told when the request was
+    /// A runner ended on a request. `before` is what [`Quarantine::crash_count`] told when the request was
     /// sent to it.
-    pub fn note_crash(&mut self, digest: RequestDigest, before: u32, now: Millis) -> Verdict {
-        if self.left(digest, now).is_some() {
-            return Verdict::Known;
+    pub fn record_crash(&mut self, digest: RequestDigest, before: u32, now: Millis) -> CrashVerdict {
+        if self.remaining(digest, now).is_some() {
+            return CrashVerdict::Known;
         }
-        let crashes = before.saturating_add(1).max(self.crashes(digest));
+        let crashes = before.saturating_add(1).max(self.crash_count(digest));
         self.suspect(Suspect { digest, crashes }, now);
-        match self.left(digest, now) {
-            Some(_) => Verdict::Quarantined,
-            None => Verdict::Suspected { crashes },
+        match self.remaining(digest, now) {
+            Some(_) => CrashVerdict::Quarantined,
+            None => CrashVerdict::Suspected { crashes },
         }
     }
 
     /// A request was answered; true when it was suspected, which peers should know.
-    pub fn note_answer(&mut self, digest: RequestDigest) -> bool {
+    pub fn record_answer(&mut self, digest: RequestDigest) -> bool {
         self.suspects.remove(&digest).is_some()
     }
 
     /// Takes in a peer's news. Returns what is known of the same requests beyond them, for the peer.
-    pub fn hear(&mut self, news: &CrashNews, now: Millis) -> CrashNews {
-        for digest in news.cleared.iter().take(self.cfg.most) {
+    pub fn apply_update(&mut self, news: &CrashUpdate, now: Millis) -> CrashUpdate {
+        for digest in news.cleared.iter().take(self.cfg.max_entries) {
             self.suspects.remove(digest);
         }
-        for held in news.quarantined.iter().take(self.cfg.most) {
-            self.hold(*held, now);
+        for held in news.quarantined.iter().take(self.cfg.max_entries) {
+            self.insert(*held, now);
         }
-        let mut beyond = CrashNews::default();
-        for suspect in news.suspects.iter().take(self.cfg.most) {
-            let known = self.crashes(suspect.digest);
+        let mut beyond = CrashUpdate::default();
+        for suspect in news.suspects.iter().take(self.cfg.max_entries) {
+            let known = self.crash_count(suspect.digest);
             self.suspect(*suspect, now);
             if let Some(held) = self.held(suspect.digest, now) {
                 beyond.quarantined.push(held);
@@ -205,31 +205,31 @@
     }
 
     /// A request is in quarantine; true when that was not known.
-    pub fn hold(&mut self, held: Quarantined, now: Millis) -> bool {
+    pub fn insert(&mut self, held: Quarantined, now: Millis) -> bool {
         let Quarantined { digest, since } = held;
         // Another gateway's clock may be ahead.
         let since = since.min(now);
-        if now.since(since) >= self.cfg.lasts {
+        if now.since(since) >= self.cfg.duration {
             return false;
         }
         self.suspects.remove(&digest);
-        let lasts = self.cfg.lasts;
+        let lasts = self.cfg.duration;
         self.held.retain(|_, since| now.since(*since) < lasts);
         let is_new = self.held.insert(digest, since).is_none();
-        if self.held.len() > self.cfg.most {
+        if self.held.len() > self.cfg.max_entries {
             forget_oldest(&mut self.held, |since| *since);
         }
         is_new
     }
 
     /// How long a request is still kept from runners.
-    pub fn left(&self, digest: RequestDigest, now: Millis) -> Option<Millis> {
+    pub fn remaining(&self, digest: RequestDigest, now: Millis) -> Option<Millis> {
         let since = self.held.get(&digest)?;
-        Some(since.plus(self.cfg.lasts).since(now)).filter(|left| *left > Millis(0))
+        Some(since.plus(self.cfg.duration).since(now)).filter(|left| *left > Millis(0))
     }
 
     /// All requests in quarantine, oldest first.
-    pub fn all_held(&self, now: Millis) -> Vec<Quarantined> {
+    pub fn entries(&self, now: Millis) -> Vec<Quarantined> {
         let mut all: Vec<Quarantined> =
             self.held.keys().filter_map(|digest| self.held(*digest, now)).collect();
         all.sort_by_key(|held| (held.since, held.digest));
@@ -237,24 +237,24 @@
     }
 
     fn held(&self, digest: RequestDigest, now: Millis) -> Option<Quarantined> {
-        self.left(digest, now)?;
+        self.remaining(digest, now)?;
         Some(Quarantined { digest, since: *self.held.get(&digest)? })
     }
 
     fn suspect(&mut self, suspect: Suspect, now: Millis) {
         let Suspect { digest, crashes } = suspect;
-        if self.left(digest, now).is_some() {
+        if self.remaining(digest, now).is_some() {
             return;
         }
-        if crashes >= self.cfg.crashes {
-            self.hold(Quarantined { digest, since: now }, now);
+        if crashes >= self.cfg.crash_threshold {
+            self.insert(Quarantined { digest, since: now }, now);
             return;
         }
-        let remembered = self.cfg.remembered;
+        let remembered = self.cfg.suspect_ttl;
         self.suspects.retain(|_, crashes| now.since(crashes.at) < remembered);
-        let in_row = crashes.max(self.crashes(digest));
+        let in_row = crashes.max(self.crash_count(digest));
         self.suspects.insert(digest, Crashes { in_row, at: now });
-        if self.suspects.len() > self.cfg.most {
+        if self.suspects.len() > self.cfg.max_entries {
             forget_oldest(&mut self.suspects, |crashes| crashes.at);
         }
     }
--- a/crates/bulrushusher_routing/src/retry.rs
+++ b/crates/bulrushusher_routing/src/retry.rs
@@ -23,11 +23,11 @@
     /// ```
     /// use bulrushusher_routing::RetryConfig;
     /// let whole = RetryConfig { per_request: 0.2, max_saved: 54.0 };
-    /// assert_eq!(whole.part(27).max_saved, 2.0);
-    /// assert_eq!(whole.part(27).per_request, 0.2, "each earns by its own requests");
+    /// assert_eq!(whole.split(27).max_saved, 2.0);
+    /// assert_eq!(whole.split(27).per_request, 0.2, "each earns by its own requests");
     /// ```
     #[must_use]
-    pub fn part(self, sharers: usize) -> RetryConfig {
+    pub fn split(self, sharers: usize) -> RetryConfig {
         let part = self.max_saved / sharers.max(1) as f64;
         RetryConfig { max_saved: part.max(self.max_saved.min(1.0)), ..self }
     }
--- a/crates/bulrushusher_routing/tests/quarantine.rs
+++ b/crates/bulrushusher_routing/tests/quarantine.rs
@@ -4,7 +4,7 @@
 //! which requests it had just begun.
 
 use bulrushusher_routing::{
-    CrashNews, Quarantine, QuarantineConfig, Quarantined, RequestDigest, Suspect, Verdict,
+    CrashUpdate, Quarantine, QuarantineConfig, Quarantined, RequestDigest, Suspect, CrashVerdict,
 };
 use bulrushusher_time::Millis;
 use proptest::prelude::*;
@@ -73,14 +73,14 @@
     /// A runner ends on a request; peers hear of it but for those whose datagrams are lost.
     fn crash(&mut self, gateway: usize, request: usize, before: u32, lost: &[bool]) {
         let now = self.now;
-        let verdict = self.gateways[gateway].note_crash(digest(request), before, now);
-        let mut news = CrashNews::default();
+        let verdict = self.gateways[gateway].record_crash(digest(request), before, now);
+        let mut news = CrashUpdate::default();
         match verdict {
-            Verdict::Known => {}
-            Verdict::Suspected { crashes } => {
+            CrashVerdict::Known => {}
+            CrashVerdict::Suspected { crashes } => {
                 news.suspects.push(Suspect { digest: digest(request), crashes });
             }
-            Verdict::Quarantined => {
+            CrashVerdict::Quarantined => {
                 let held = Quarantined { digest: digest(request), since: now };
                 news.quarantined.push(held);
                 self.store.push(held);
@@ -89,22 +89,22 @@
         self.tell(gateway, &news, lost);
     }
 
-    fn tell(&mut self, from: usize, news: &CrashNews, lost: &[bool]) {
+    fn tell(&mut self, from: usize, news: &CrashUpdate, lost: &[bool]) {
         for to in (0..GATEWAYS).filter(|to| *to != from) {
             if lost.get(to).copied().unwrap_or(false) {
                 continue;
             }
-            let beyond = self.gateways[to].hear(news, self.now);
+            let beyond = self.gateways[to].apply_update(news, self.now);
             // What comes twice changes nothing.
-            self.gateways[to].hear(news, self.now);
-            self.gateways[from].hear(&beyond, self.now);
+            self.gateways[to].apply_update(news, self.now);
+            self.gateways[from].apply_update(&beyond, self.now);
         }
     }
 
     fn restart(&mut self, gateway: usize) {
         let mut fresh = Quarantine::new(QuarantineConfig::default());
         for held in &self.store {
-            fresh.hold(*held, self.now);
+            fresh.insert(*held, self.now);
         }
         self.gateways[gateway] = fresh;
     }
@@ -113,31 +113,31 @@
         self.now = self.now.plus(STEP);
         match step {
             Step::Crash { gateway, beside, lost } => {
-                if self.gateways[*gateway].left(digest(0), self.now).is_some() {
+                if self.gateways[*gateway].remaining(digest(0), self.now).is_some() {
                     return;
                 }
                 self.ended += 1;
-                let before = self.gateways[*gateway].crashes(digest(0));
+                let before = self.gateways[*gateway].crash_count(digest(0));
                 let knows_more = |it: &Quarantine| {
-                    it.left(digest(0), self.now).is_some() || it.crashes(digest(0)) > before
+                    it.remaining(digest(0), self.now).is_some() || it.crash_count(digest(0)) > before
                 };
                 self.unheard += usize::from(self.gateways.iter().any(knows_more));
                 self.crash(*gateway, 0, before, lost);
                 if let Some((other, request)) = beside {
-                    let before = self.gateways[*other].crashes(digest(*request));
+                    let before = self.gateways[*other].crash_count(digest(*request));
                     self.crash(*other, *request, before, lost);
                 }
             }
             Step::Answer { gateway, request } => {
-                if self.gateways[*gateway].note_answer(digest(*request)) {
+                if self.gateways[*gateway].record_answer(digest(*request)) {
                     let cleared = vec![digest(*request)];
-                    let news = CrashNews { cleared, ..CrashNews::default() };
+                    let news = CrashUpdate { cleared, ..CrashUpdate::default() };
                     self.tell(*gateway, &news, &[]);
                 }
             }
             Step::EndTogether { request } => {
                 let before: Vec<u32> =
-                    self.gateways.iter().map(|it| it.crashes(digest(*request))).collect();
+                    self.gateways.iter().map(|it| it.crash_count(digest(*request))).collect();
                 for (gateway, before) in before.into_iter().enumerate() {
                     self.crash(gateway, *request, before, &[]);
                 }
@@ -171,7 +171,7 @@
     ) {
         let mut fleet = Fleet::new();
         steps.iter().for_each(|step| fleet.play(step));
-        let enough = QuarantineConfig::default().crashes as usize;
+        let enough = QuarantineConfig::default().crash_threshold as usize;
         let restarts = steps.iter().filter(|it| matches!(it, Step::Restart { .. })).count();
         prop_assert!(
             fleet.ended <= enough + fleet.unheard + restarts,
@@ -186,7 +186,7 @@
         for gateway in gateways {
             fleet.play(&Step::Crash { gateway, beside: None, lost: Vec::new() });
         }
-        prop_assert_eq!(fleet.ended, QuarantineConfig::default().crashes as usize);
+        prop_assert_eq!(fleet.ended, QuarantineConfig::default().crash_threshold as usize);
     }
 
     /// Runners that end together say nothing of what they ran, however many they are.
@@ -198,7 +198,7 @@
             fleet.play(&Step::Answer { gateway: 3, request: 1 });
         }
         let now = fleet.now;
-        prop_assert!(fleet.gateways.iter().all(|it| it.left(digest(1), now).is_none()));
+        prop_assert!(fleet.gateways.iter().all(|it| it.remaining(digest(1), now).is_none()));
     }
 }
 
@@ -206,10 +206,10 @@
 fn an_answer_between_two_crashes_clears_a_request() {
     let mut quarantine = Quarantine::new(QuarantineConfig::default());
     for round in 0..20 {
-        let before = quarantine.crashes(digest(1));
-        let verdict = quarantine.note_crash(digest(1), before, Millis(round * 1_000));
-        assert_eq!(verdict, Verdict::Suspected { crashes: 1 });
-        assert!(quarantine.note_answer(digest(1)));
+        let before = quarantine.crash_count(digest(1));
+        let verdict = quarantine.record_crash(digest(1), before, Millis(round * 1_000));
+        assert_eq!(verdict, CrashVerdict::Suspected { crashes: 1 });
+        assert!(quarantine.record_answer(digest(1)));
     }
 }
 
@@ -218,33 +218,33 @@
     let cfg = QuarantineConfig::default();
     let mut quarantine = Quarantine::new(cfg);
     let crash = |quarantine: &mut Quarantine, now| {
-        let before = quarantine.crashes(digest(1));
-        quarantine.note_crash(digest(1), before, now)
+        let before = quarantine.crash_count(digest(1));
+        quarantine.record_crash(digest(1), before, now)
     };
-    assert_eq!(crash(&mut quarantine, Millis(0)), Verdict::Suspected { crashes: 1 });
-    assert_eq!(crash(&mut quarantine, Millis(10)), Verdict::Quarantined);
-    assert_eq!(quarantine.left(digest(1), Millis(20)), Some(Millis(cfg.lasts.0 - 10)));
-    let over = Millis(10).plus(cfg.lasts);
-    assert_eq!(quarantine.left(digest(1), over), None);
-    assert_eq!(crash(&mut quarantine, over), Verdict::Suspected { crashes: 1 });
+    assert_eq!(crash(&mut quarantine, Millis(0)), CrashVerdict::Suspected { crashes: 1 });
+    assert_eq!(crash(&mut quarantine, Millis(10)), CrashVerdict::Quarantined);
+    assert_eq!(quarantine.remaining(digest(1), Millis(20)), Some(Millis(cfg.duration.0 - 10)));
+    let over = Millis(10).plus(cfg.duration);
+    assert_eq!(quarantine.remaining(digest(1), over), None);
+    assert_eq!(crash(&mut quarantine, over), CrashVerdict::Suspected { crashes: 1 });
     // Another request's crash is the occasion at which old ones are forgotten.
-    let later = over.plus(cfg.remembered);
-    quarantine.note_crash(digest(2), 0, later);
-    assert_eq!(quarantine.crashes(digest(1)), 0);
+    let later = over.plus(cfg.suspect_ttl);
+    quarantine.record_crash(digest(2), 0, later);
+    assert_eq!(quarantine.crash_count(digest(1)), 0);
 }
 
 #[test]
 fn as_many_requests_are_remembered_as_are_allowed_and_no_more() {
-    let cfg = QuarantineConfig { most: 8, ..QuarantineConfig::default() };
+    let cfg = QuarantineConfig { max_entries: 8, ..QuarantineConfig::default() };
     let mut quarantine = Quarantine::new(cfg);
     for request in 0..100 {
         let now = Millis(request as u64);
-        quarantine.note_crash(digest(request), 0, now);
-        quarantine.note_crash(digest(request), 1, now);
-        quarantine.note_crash(digest(100 + request), 0, now);
+        quarantine.record_crash(digest(request), 0, now);
+        quarantine.record_crash(digest(request), 1, now);
+        quarantine.record_crash(digest(100 + request), 0, now);
     }
-    assert_eq!(quarantine.all_held(Millis(100)).len(), 8);
-    let known = (100..200).filter(|request| quarantine.crashes(digest(*request)) > 0).count();
+    assert_eq!(quarantine.entries(Millis(100)).len(), 8);
+    let known = (100..200).filter(|request| quarantine.crash_count(digest(*request)) > 0).count();
     assert_eq!(known, 8, "the last ones");
 }
 
@@ -253,6 +253,6 @@
     let cfg = QuarantineConfig::default();
     let mut quarantine = Quarantine::new(cfg);
     let ahead = Quarantined { digest: digest(1), since: Millis(9_000_000) };
-    assert!(quarantine.hold(ahead, Millis(1_000)));
-    assert_eq!(quarantine.left(digest(1), Millis(1_000)), Some(cfg.lasts));
+    assert!(quarantine.insert(ahead, Millis(1_000)));
+    assert_eq!(quarantine.remaining(digest(1), Millis(1_000)), Some(cfg.duration));
 }
--- a/crates/bulrushusher_routing/tests/retry.rs
+++ b/crates/bulrushusher_routing/tests/retry.rs
@@ -15,7 +15,7 @@
 fn processes_that_spend_at_once_stay_within_the_whole() {
     for sharers in [1, 5, 10, 27, 54] {
         let whole = RetryConfig { per_request: 0.2, max_saved: 54.0 };
-        let budget = || RetryBudget::new(whole.part(sharers));
+        let budget = || RetryBudget::new(whole.split(sharers));
         let spent: u32 = (0..sharers).map(|_| spend_all(&mut budget())).sum();
         assert!(f64::from(spent) <= whole.max_saved, "{sharers} processes spent {spent}");
     }
@@ -24,7 +24,7 @@
 #[test]
 fn a_process_with_a_small_part_still_repeats_what_it_has_earned() {
     let whole = RetryConfig { per_request: 0.2, max_saved: 20.0 };
-    let mut budget = RetryBudget::new(whole.part(380));
+    let mut budget = RetryBudget::new(whole.split(380));
     assert_eq!(spend_all(&mut budget), 1);
     for _ in 0..10 {
         budget.earn();
@@ -36,12 +36,12 @@
 fn a_smaller_part_takes_back_what_was_saved() {
     let whole = RetryConfig { per_request: 0.2, max_saved: 50.0 };
     let mut budget = RetryBudget::new(whole);
-    budget.reconfigure(whole.part(10));
+    budget.reconfigure(whole.split(10));
     assert_eq!(spend_all(&mut budget), 5);
 }
 
 #[test]
 fn where_no_repeat_is_allowed_no_process_makes_one() {
     let whole = RetryConfig { per_request: 0.0, max_saved: 0.0 };
-    assert_eq!(spend_all(&mut RetryBudget::new(whole.part(10))), 0);
+    assert_eq!(spend_all(&mut RetryBudget::new(whole.split(10))), 0);
 }
--- a/tools/bulrushusher_slopes/src/state.rs
+++ b/tools/bulrushusher_slopes/src/state.rs
@@ -95,8 +95,8 @@
     let endpoints: Vec<Endpoint> = (0..runners).map(endpoint).collect();
     table.set_endpoints(endpoints.clone());
     for endpoint in &endpoints {
-        let hint = LoadHint { used: 3, places: 20, heard: NOW, ..LoadHint::default() };
-        table.hear(&endpoint.name, hint);
+        let hint = LoadHint { used: 3, places: 20, reported_at: NOW, ..LoadHint::default() };
+        table.update_load(&endpoint.name, hint);
     }
     table
 }
