--- a/crates/bulrushusher_once/src/ballot.rs
+++ b/crates/bulrushusher_once/src/ballot.rs
@@ -1,10 +1,10 @@
-//! Ballots: which attempt at a key goes first.
+//! Ballots: the order of precedence among attempts to run a key.
 
 use bulrushusher_world::EntryName;
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// The rank of one attempt to run a key. Higher ballots bar lower ones.
+/// The precedence of one attempt to run a key. A higher ballot bars all lower ones.
 ///
 /// ```
 /// use bulrushusher_once::{Ballot, Owner};
@@ -19,30 +19,30 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Ballot {
-    /// The attempt that the key's home recorded; the lowest ballot.
+    /// The attempt recorded by the key's home; the lowest ballot.
     #[default]
     #[display("home")]
     Home,
-    /// An attempt after a bar.
+    /// An attempt made after a bar round.
     #[display("{number}/{owner}")]
     Barred {
-        /// Rises with each bar.
+        /// Increases with each bar round.
         number: u32,
-        /// Who barred.
+        /// The settlement that ran the bar round.
         owner: Owner,
     },
 }
 
-/// Who owns a ballot. No two settlements have the same owner, not even two of one entry for one
-/// key: each would take the other's promises for its own.
+/// The settlement that owns a ballot. It must be unique even among settlements of one entry for one
+/// key: with equal ballots, each would treat promises made to the other as its own.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{entry}/{incarnation:x}/{attempt}")]
 pub struct Owner {
     /// The entry.
     pub entry: EntryName,
-    /// Which life of that entry; unique to each start.
+    /// Identifies one run of the entry's process; unique to each start.
     pub incarnation: u64,
-    /// Which settlement of that life.
+    /// Number of the settlement within that incarnation.
     pub attempt: u64,
 }
 
@@ -50,10 +50,10 @@
     /// The next higher ballot, owned by `owner`.
     #[must_use]
     pub fn next(&self, owner: &Owner) -> Ballot {
-        let held = match self {
+        let number = match self {
             Ballot::Home => 0,
             Ballot::Barred { number, .. } => *number,
         };
-        Ballot::Barred { number: held.saturating_add(1), owner: owner.clone() }
+        Ballot::Barred { number: number.saturating_add(1), owner: owner.clone() }
     }
 }
--- a/crates/bulrushusher_once/src/lib.rs
+++ b/crates/bulrushusher_once/src/lib.rs
@@ -1,14 +1,15 @@
-//! At-most-once records, with no store on the request path.
+//! At-most-once execution of request keys, with no store on the request path.
 //!
-//! Three parts, none of which does I/O:
-//! - the *executor* ([`ExecutorTable`]), kept by every agent: what ran here, and which ballots are
-//!   barred;
-//! - the *home* ([`HomeTable`]), kept by every agent for the keys whose first place in rendezvous
-//!   order it is: which executor a key was given to;
-//! - the *bar* ([`BarRound`]), run by an entry when a home cannot vouch: a higher ballot at every
-//!   agent that may have run the key.
-//!
-//! What a run is: a decode, or a call of a plain service.
+//! An agent is the process next to one endpoint; an entry accepts requests and dispatches them to
+//! agents. A run is a decode or a call of a plain service. The protocol has three parts, none of
+//! which does I/O:
+//! - the *executor* table ([`ExecutorTable`]), kept by every agent: which keys ran at its endpoint,
+//!   and below which ballot it refuses to run a key;
+//! - the *home* table ([`HomeTable`]): the agent that comes first for a key in rendezvous order is
+//!   the key's home and records which executor the key was assigned to;
+//! - the *bar* round ([`BarRound`]), run by an entry when the home is unreachable or its records
+//!   may be incomplete: like the prepare phase of Paxos, it obtains a promise to refuse lower
+//!   ballots from every agent that may have run the key.
 
 mod ballot;
 mod bar;
--- a/crates/bulrushusher_once/src/rendezvous.rs
+++ b/crates/bulrushusher_once/src/rendezvous.rs
@@ -1,15 +1,15 @@
-//! Rendezvous order: the same endpoint comes first for a key wherever it is computed.
+//! Rendezvous hashing: every process computes the same home for a key from the same endpoints.
 
 use bulrushusher_world::{EndpointName, RequestKey};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The rank of an endpoint for a text; the highest comes first.
+/// The score of an endpoint for a text; the highest score wins.
 pub fn rendezvous_score(text: &str, endpoint: &EndpointName) -> u64 {
     let seed = xxh3_64_with_seed(endpoint.as_str().as_bytes(), 0);
     xxh3_64_with_seed(text.as_bytes(), seed)
 }
 
-/// The home of a key among the endpoints of its service; `None` when there are none.
+/// The home of a key among the endpoints of its service; `None` if `endpoints` is empty.
 ///
 /// ```
 /// use bulrushusher_once::home_of;
