--- a/crates/bulrushusher_once/src/bar.rs
+++ b/crates/bulrushusher_once/src/bar.rs
@@ -1,4 +1,4 @@
-//! A bar: one round of an entry that must know whether a key ran anywhere.
+//! The bar round: an entry finds out whether a key ran at any agent.
 
 use std::collections::BTreeSet;
 
@@ -6,42 +6,45 @@
 
 use crate::{Ballot, BarReply, HomeBarReply, RunStatus};
 
-/// What a finished round tells.
+/// The outcome of a bar round.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BarVerdict {
-    /// It ran nowhere, and lower ballots are refused everywhere: run it at this round's ballot.
+    /// The key ran nowhere, and every agent refuses lower ballots: run it at this round's ballot.
     Clear,
-    /// It ran or runs at that endpoint: attach there.
+    /// The key ran or is running at that endpoint; attach there if its answer is available.
     Ran(EndpointName, RunStatus),
-    /// Another entry holds a higher ballot: bar again above it.
+    /// An agent has promised a higher ballot to another settlement: bar again above that ballot.
     Higher(Ballot),
-    /// Some agent may have run it and cannot tell: the outcome is unknown.
+    /// An agent that may have run the key is unreachable or has incomplete records.
     Unknown,
-    /// Some agent knows a later endpoint list, of that revision: learn it and bar again.
+    /// An agent has a later endpoint list, of that revision: fetch it and bar again.
     StaleList(u64),
-    /// Some agent's table is full: nothing is known, come back later.
+    /// An agent's table is full and did not record the bar: retry later.
     TableFull,
 }
 
-/// What one agent answered to a bar.
+/// One agent's reply to a bar.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BarResponse {
-    /// What it knows as an executor.
+    /// From the agent's executor table.
     pub reply: BarReply,
-    /// What it knows as a home.
+    /// From the agent's home table.
     pub home: HomeBarReply,
-    /// The revision of the endpoint list that it holds.
+    /// The highest endpoint list revision that the agent has seen.
     pub revision: u64,
 }
 
-/// One round of a bar. Feed it each agent's reply; ask it for the verdict.
+/// One bar round. Collects each agent's reply and derives the verdict.
 ///
-/// The key's home does not execute it, so an unreachable home does not stop the round, as long as
-/// nothing hints that another list or another attempt was at work: every other agent holds the same
-/// list, none was barred before, and the key is younger than the list.
+/// A key's home does not execute it, so an unreachable home does not block the round, provided
+/// that no other list and no other attempt can be involved: every other agent has the same list
+/// revision, none has promised an earlier ballot for the key, none reports that the key was
+/// assigned to the home, and the key is younger than the list.
 ///
 /// ```
-/// use bulrushusher_once::{Ballot, BarReply, BarRound, BarVerdict, BarResponse, HomeBarReply, Owner};
+/// use bulrushusher_once::{
+///     Ballot, BarReply, BarResponse, BarRound, BarVerdict, HomeBarReply, Owner,
+/// };
 /// use bulrushusher_world::{EndpointName, EntryName};
 /// let entry = EntryName::try_from("entry-1").unwrap();
 /// let d1 = EndpointName::try_from("d1").unwrap();
@@ -56,38 +59,39 @@
 pub struct BarRound {
     ballot: Ballot,
     revision: u64,
-    awaited: BTreeSet<EndpointName>,
-    idle_home: Option<EndpointName>,
-    home_lost: bool,
-    hints: bool,
+    pending: BTreeSet<EndpointName>,
+    non_executing_home: Option<EndpointName>,
+    home_unreachable: bool,
+    /// Another list or another attempt may have been involved.
+    conflict_possible: bool,
     ran: Option<(EndpointName, RunStatus)>,
-    given: BTreeSet<EndpointName>,
-    lost: BTreeSet<EndpointName>,
+    assigned: BTreeSet<EndpointName>,
+    inconclusive: BTreeSet<EndpointName>,
     higher: Option<Ballot>,
     later_list: Option<u64>,
     table_full: bool,
 }
 
 impl BarRound {
-    /// A round at `ballot`, by the list of `revision`, that awaits every agent in `agents`: all
-    /// that may have run the key within the retry horizon. `idle_home` is the key's home, where the
-    /// key is younger than the list and another endpoint could have run it; else `None`.
+    /// A round at `ballot` that waits for `agents`: by the endpoint list of `revision`, all that
+    /// may have run the key within the retry horizon. `non_executing_home` is the key's home if the
+    /// key is younger than the list and another endpoint could have run it; otherwise `None`.
     pub fn new(
         ballot: Ballot,
         revision: u64,
         agents: impl IntoIterator<Item = EndpointName>,
-        idle_home: Option<EndpointName>,
+        non_executing_home: Option<EndpointName>,
     ) -> BarRound {
         BarRound {
             ballot,
             revision,
-            awaited: agents.into_iter().collect(),
-            idle_home,
-            home_lost: false,
-            hints: false,
+            pending: agents.into_iter().collect(),
+            non_executing_home,
+            home_unreachable: false,
+            conflict_possible: false,
             ran: None,
-            given: BTreeSet::new(),
-            lost: BTreeSet::new(),
+            assigned: BTreeSet::new(),
+            inconclusive: BTreeSet::new(),
             higher: None,
             later_list: None,
             table_full: false,
@@ -99,53 +103,54 @@
         &self.ballot
     }
 
-    /// Agents that have not answered yet.
+    /// Agents that have not replied yet.
     pub fn pending(&self) -> impl Iterator<Item = &EndpointName> {
-        self.awaited.iter()
+        self.pending.iter()
     }
 
-    /// An agent answered. A second answer is ignored.
-    pub fn record_reply(&mut self, agent: &EndpointName, heard: BarResponse) {
-        if !self.awaited.remove(agent) {
+    /// Records an agent's reply. Further replies of the same agent are ignored.
+    pub fn record_reply(&mut self, agent: &EndpointName, response: BarResponse) {
+        if !self.pending.remove(agent) {
             return;
         }
-        if heard.revision != self.revision {
-            self.hints = true;
+        if response.revision != self.revision {
+            self.conflict_possible = true;
         }
-        if heard.revision > self.revision {
-            self.later_list = self.later_list.max(Some(heard.revision));
+        if response.revision > self.revision {
+            self.later_list = self.later_list.max(Some(response.revision));
         }
-        if let HomeBarReply::Given(executor) = heard.home {
-            self.given.insert(executor);
+        if let HomeBarReply::Given(executor) = response.home {
+            self.assigned.insert(executor);
         }
-        match heard.reply {
-            BarReply::Clean { earlier } => self.hints |= earlier.is_some(),
-            BarReply::Ran(ran) => self.note_run(agent, ran),
-            BarReply::CannotSay => drop(self.lost.insert(agent.clone())),
+        match response.reply {
+            BarReply::Clean { earlier } => self.conflict_possible |= earlier.is_some(),
+            BarReply::Ran(status) => self.record_run(agent, status),
+            BarReply::CannotSay => drop(self.inconclusive.insert(agent.clone())),
             BarReply::Higher(ballot) => self.higher = self.higher.take().max(Some(ballot)),
             BarReply::TableFull => self.table_full = true,
         }
     }
 
-    /// An agent could not be reached within the bound.
+    /// Records that an agent could not be reached before the timeout.
     pub fn record_unreachable(&mut self, agent: &EndpointName) {
-        if !self.awaited.remove(agent) {
+        if !self.pending.remove(agent) {
             return;
         }
-        if self.idle_home.as_ref() == Some(agent) {
-            self.home_lost = true;
+        if self.non_executing_home.as_ref() == Some(agent) {
+            self.home_unreachable = true;
         } else {
-            self.lost.insert(agent.clone());
+            self.inconclusive.insert(agent.clone());
         }
     }
 
-    /// What is known once all have answered, and as soon as one has an answer to attach to.
+    /// The verdict: available once every agent has replied or is unreachable, and earlier if one
+    /// has a run to attach to.
     pub fn verdict(&self) -> Option<BarVerdict> {
         let ran = self.ran.clone().map(|(agent, ran)| BarVerdict::Ran(agent, ran));
         if let Some(BarVerdict::Ran(_, RunStatus::Running | RunStatus::Finished)) = ran {
             return ran;
         }
-        if !self.awaited.is_empty() {
+        if !self.pending.is_empty() {
             return None;
         }
         if ran.is_some() {
@@ -157,7 +162,7 @@
         if let Some(ballot) = &self.higher {
             return Some(BarVerdict::Higher(ballot.clone()));
         }
-        if !self.lost.is_empty() || (self.home_lost && self.home_may_have_run()) {
+        if !self.inconclusive.is_empty() || (self.home_unreachable && self.home_may_have_run()) {
             return Some(BarVerdict::Unknown);
         }
         if self.table_full {
@@ -166,17 +171,19 @@
         Some(BarVerdict::Clear)
     }
 
-    /// Keeps the most useful of several runs: one with an answer. (Several are possible only for
-    /// keys that may run again.)
-    fn note_run(&mut self, agent: &EndpointName, ran: RunStatus) {
-        let has_answer = |ran: RunStatus| matches!(ran, RunStatus::Running | RunStatus::Finished);
-        if self.ran.as_ref().is_none_or(|(_, held)| !has_answer(*held)) {
-            self.ran = Some((agent.clone(), ran));
+    /// Keeps one of several runs, preferring one that can be attached to. Several are possible only
+    /// for idempotent keys.
+    fn record_run(&mut self, agent: &EndpointName, status: RunStatus) {
+        let has_answer =
+            |status: RunStatus| matches!(status, RunStatus::Running | RunStatus::Finished);
+        if self.ran.as_ref().is_none_or(|(_, known)| !has_answer(*known)) {
+            self.ran = Some((agent.clone(), status));
         }
     }
 
     fn home_may_have_run(&self) -> bool {
-        let given_to_home = self.idle_home.as_ref().is_some_and(|home| self.given.contains(home));
-        self.hints || given_to_home
+        let home = self.non_executing_home.as_ref();
+        let assigned_to_home = home.is_some_and(|home| self.assigned.contains(home));
+        self.conflict_possible || assigned_to_home
     }
 }
