--- a/crates/bulrushusher_once/src/coverage.rs
+++ b/crates/bulrushusher_once/src/coverage.rs
@@ -1,10 +1,10 @@
-//! When a process that remembers nothing of a key may say that it never saw it.
+//! When the absence of a record proves that a process never saw a key.
 
 use bulrushusher_time::Millis;
 use bulrushusher_world::RequestKey;
 use uuid::Uuid;
 
-/// The time in a key that is a UUIDv7, as Unix time; `None` for other keys.
+/// The creation time embedded in a UUIDv7 key, as Unix time; `None` for other keys.
 ///
 /// ```
 /// use bulrushusher_once::key_time;
@@ -23,55 +23,57 @@
     Some(Millis(seconds * 1000 + u64::from(nanos) / 1_000_000))
 }
 
-/// What a process can say of a key that it has no record of.
+/// What the absence of a record means for a key of a given age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyAge {
-    /// The key is younger than this process's memory: no record means never seen.
+    /// The key is younger than the process's records: no record means never seen.
     Covered,
-    /// The key may be older than this process's memory, or its time lies in the future.
+    /// The key may be older than the process's records, or its time lies in the future.
     InDoubt,
-    /// The key is older than the retry horizon; records of it may have been dropped.
+    /// The key is older than the retry horizon; its records may have expired.
     TooOld,
 }
 
-/// The rule by which a process vouches.
+/// The time span that a process's records cover. Within it, no record means never seen.
 #[derive(Clone, Copy, Debug)]
 pub struct RecordCoverage {
-    /// When this process's memory began, Unix time.
+    /// When the process started to keep records, Unix time.
     pub since: Millis,
-    /// The largest difference between two clocks.
+    /// Maximum clock skew between two processes.
     pub skew: Millis,
-    /// How long callers may retry a key; records are kept this long and twice the skew.
+    /// How long callers may retry a key. Records are kept this long plus twice the skew.
     pub horizon: Millis,
 }
 
 impl RecordCoverage {
-    /// Whether "no record" means "never seen" for a key of that time.
+    /// Whether "no record" means "never seen" for a key created at `time`.
     ///
-    /// A key without a time is vouched for once the memory is older than the horizon.
+    /// A key without a time is covered once records have been kept for longer than
+    /// [`RecordCoverage::retention`].
     ///
     /// ```
     /// use bulrushusher_once::{KeyAge, RecordCoverage};
     /// use bulrushusher_time::Millis;
-    /// let coverage = RecordCoverage { since: Millis(5_000), skew: Millis(100), horizon: Millis(60_000) };
+    /// let (since, skew, horizon) = (Millis(5_000), Millis(100), Millis(60_000));
+    /// let coverage = RecordCoverage { since, skew, horizon };
     /// assert_eq!(coverage.key_age(Some(Millis(5_101)), Millis(5_200)), KeyAge::Covered);
     /// assert_eq!(coverage.key_age(Some(Millis(5_100)), Millis(5_200)), KeyAge::InDoubt);
     /// assert_eq!(coverage.key_age(None, Millis(5_200)), KeyAge::InDoubt);
     /// ```
     pub fn key_age(&self, time: Option<Millis>, now: Millis) -> KeyAge {
         let Some(time) = time else {
-            let full_memory = now.since(self.since) > self.retention();
-            return if full_memory { KeyAge::Covered } else { KeyAge::InDoubt };
+            let covers_retention = now.since(self.since) > self.retention();
+            return if covers_retention { KeyAge::Covered } else { KeyAge::InDoubt };
         };
         if time.plus(self.horizon).plus(self.skew) < now {
             return KeyAge::TooOld;
         }
-        let from_the_future = time > now.plus(self.skew);
-        let before_memory = time <= self.since.plus(self.skew);
-        if from_the_future || before_memory { KeyAge::InDoubt } else { KeyAge::Covered }
+        let in_future = time > now.plus(self.skew);
+        let before_coverage = time <= self.since.plus(self.skew);
+        if in_future || before_coverage { KeyAge::InDoubt } else { KeyAge::Covered }
     }
 
-    /// How long a record must be kept.
+    /// How long a record must be kept: the retry horizon plus twice the clock skew.
     pub fn retention(&self) -> Millis {
         self.horizon.plus(self.skew).plus(self.skew)
     }
