--- a/crates/bulrushusher_once/src/executor.rs
+++ b/crates/bulrushusher_once/src/executor.rs
@@ -1,4 +1,4 @@
-//! What an agent knows of the keys that ran, or were barred, at its endpoint.
+//! The executor table of an agent: keys that ran or were barred at its endpoint.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -9,48 +9,48 @@
 
 use crate::{Ballot, KeyAge, RecordCoverage, key_time};
 
-/// Bounds of an executor's table.
+/// Limits of an executor table.
 #[derive(Clone, Copy, Debug)]
 pub struct ExecutorConfig {
-    /// Records held at once; one more is refused.
+    /// Maximum number of records; further orders and bars of new keys are refused.
     pub max_records: usize,
-    /// Bytes of finished answers held at once; the oldest answers go first.
+    /// Maximum total size of retained finished answers, in bytes; the oldest are dropped first.
     pub max_answer_bytes: usize,
-    /// When this agent vouches for a key that it has no record of.
+    /// The time span for which no record means never seen.
     pub coverage: RecordCoverage,
 }
 
-/// How far a key that ran here has come.
+/// The status of a run at this endpoint.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunStatus {
-    /// It runs now.
+    /// The run is in progress.
     #[display("running")]
     Running,
-    /// It finished, and the answer is held.
+    /// The run finished, and its answer is retained.
     #[display("finished")]
     Finished,
-    /// It finished, and the answer was dropped to keep a bound.
+    /// The run finished, and its answer was dropped to stay within the size limit.
     #[display("finished, answer no longer kept")]
     AnswerGone,
-    /// It began, and was stopped because nobody wanted the answer any more.
+    /// The run started, and was cancelled because no caller was waiting for the answer any more.
     #[display("cancelled")]
     Cancelled,
-    /// It began, and the engine lost it.
+    /// The run started, and the engine lost it.
     #[display("failed")]
     Failed,
 }
 
-/// The answer to an order to run a key.
+/// The reply to an order to run a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderReply {
     /// Run it now; the key is recorded as running.
     Run,
-    /// It ran or runs here already; attach to it or replay it.
+    /// The key ran or is running here already; attach to the run or replay its answer.
     AlreadyRan(RunStatus),
-    /// A higher or different ballot was promised; not run here.
+    /// Another ballot was promised for the key; not run by this order.
     Barred(Ballot),
-    /// This agent cannot vouch for the key; not run here by this order.
+    /// The key may be older than this agent's records; not run by this order.
     InDoubt,
     /// The key is older than the retry horizon; not run by this order.
     TooOld,
@@ -58,30 +58,38 @@
     TableFull,
 }
 
-/// The answer to a bar.
+/// The executor table's part of the reply to a bar.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BarReply {
-    /// Never ran here, and will not at a lower ballot.
+    /// The key never ran here, and will not run here at a lower ballot.
     Clean {
-        /// The lower ballot that was promised before, if any: its owner may have run the key
+        /// The lower ballot that was promised before, if any. Its owner may have run the key
         /// elsewhere.
         earlier: Option<Ballot>,
     },
-    /// Ran or runs here.
+    /// The key ran or is running here.
     Ran(RunStatus),
-    /// Will not run at a lower ballot from now on, but may have run before this agent's memory.
+    /// The key will not run here at a lower ballot, but may have run before this agent's records
+    /// began.
     CannotSay,
-    /// A higher ballot is held.
+    /// A higher ballot was promised before.
     Higher(Ballot),
-    /// The table is full; nothing was recorded.
+    /// The table is full; the bar was not recorded.
     TableFull,
 }
 
 #[derive(Clone, Debug)]
 enum State {
-    Barred { ballot: Ballot, vouched: bool },
-    Ran { ran: RunStatus, bytes: usize },
+    /// `covered`: no record meant never seen when the key was barred.
+    Barred {
+        ballot: Ballot,
+        covered: bool,
+    },
+    Ran {
+        status: RunStatus,
+        bytes: usize,
+    },
 }
 
 #[derive(Clone, Debug)]
@@ -90,10 +98,12 @@
     made: Millis,
 }
 
-/// Which keys ran at this endpoint, and which ballots it has promised to refuse.
+/// Records which keys ran at this endpoint, and below which ballot it refuses a key.
 ///
 /// ```
-/// use bulrushusher_once::{Ballot, ExecutorConfig, ExecutorTable, OrderReply, RunStatus, RecordCoverage};
+/// use bulrushusher_once::{
+///     Ballot, ExecutorConfig, ExecutorTable, OrderReply, RecordCoverage, RunStatus,
+/// };
 /// use bulrushusher_time::Millis;
 /// use bulrushusher_world::RequestKey;
 /// let coverage = RecordCoverage { since: Millis(0), skew: Millis(10), horizon: Millis(1_000) };
@@ -127,109 +137,111 @@
         }
     }
 
-    /// This endpoint joined the list of its service: keys older than this may have run before, at
-    /// endpoints that were barred without this one.
+    /// Records that this endpoint joined the list of its service. Keys older than `now` are in
+    /// doubt from then on: they may have been barred without this endpoint and have run elsewhere.
     pub fn joined(&mut self, now: Millis) {
         self.cfg.coverage.since = self.cfg.coverage.since.max(now);
     }
 
-    /// An order to run `key` came. On [`OrderReply::Run`] the key counts as running.
+    /// Handles an order to run `key`. On [`OrderReply::Run`] the key is recorded as running.
     pub fn order(&mut self, key: &RequestKey, ballot: &Ballot, now: Millis) -> OrderReply {
-        self.drop_old(now);
+        self.remove_expired(now);
         match self.records.get(key).map(|record| &record.state) {
-            Some(State::Ran { ran, .. }) => OrderReply::AlreadyRan(*ran),
+            Some(State::Ran { status, .. }) => OrderReply::AlreadyRan(*status),
             Some(State::Barred { ballot: held, .. }) if held == ballot => self.run(key, now),
             Some(State::Barred { ballot: held, .. }) => OrderReply::Barred(held.clone()),
-            None => self.order_unseen(key, ballot, now),
+            None => self.order_new_key(key, ballot, now),
         }
     }
 
-    /// Whether an order for `key` at [`Ballot::Home`] would be refused for want of memory.
+    /// Whether an order for `key` at [`Ballot::Home`] would be refused because the key may be older
+    /// than this agent's records.
     pub fn is_in_doubt(&self, key: &RequestKey, now: Millis) -> bool {
-        let unseen = !self.records.contains_key(key);
-        unseen && self.cfg.coverage.key_age(key_time(key), now) == KeyAge::InDoubt
+        let is_new = !self.records.contains_key(key);
+        is_new && self.cfg.coverage.key_age(key_time(key), now) == KeyAge::InDoubt
     }
 
-    /// What is known of `key`, without changing anything; `None` when it never ran here.
+    /// The status of the run of `key`; `None` if it has no run on record. Changes nothing.
     pub fn run_status(&self, key: &RequestKey) -> Option<RunStatus> {
         match self.records.get(key)?.state {
-            State::Ran { ran, .. } => Some(ran),
+            State::Ran { status, .. } => Some(status),
             State::Barred { .. } => None,
         }
     }
 
-    /// Promises to refuse orders for `key` below `ballot`, and tells what is known.
+    /// Promises to refuse orders for `key` below `ballot`, and reports what is on record.
     pub fn bar(&mut self, key: &RequestKey, ballot: &Ballot, now: Millis) -> BarReply {
-        self.drop_old(now);
+        self.remove_expired(now);
         match self.records.get_mut(key).map(|record| &mut record.state) {
-            Some(State::Ran { ran, .. }) => BarReply::Ran(*ran),
+            Some(State::Ran { status, .. }) => BarReply::Ran(*status),
             Some(State::Barred { ballot: held, .. }) if *held > *ballot => {
                 BarReply::Higher(held.clone())
             }
-            Some(State::Barred { ballot: held, vouched }) => {
+            Some(State::Barred { ballot: held, covered }) => {
                 let before = std::mem::replace(held, ballot.clone());
                 let earlier = (before != *ballot).then_some(before);
-                if *vouched { BarReply::Clean { earlier } } else { BarReply::CannotSay }
+                if *covered { BarReply::Clean { earlier } } else { BarReply::CannotSay }
             }
-            None => self.bar_unseen(key, ballot, now),
+            None => self.bar_new_key(key, ballot, now),
         }
     }
 
-    /// A running key finished with an answer of `bytes`. The oldest answers are dropped to keep
-    /// the bound; see [`ExecutorTable::take_dropped`].
+    /// Records that a running key finished with an answer of `bytes`. The oldest answers are
+    /// dropped to stay within the size limit; see [`ExecutorTable::take_dropped`].
     pub fn finish(&mut self, key: &RequestKey, bytes: usize) {
-        if !self.set_ran(key, RunStatus::Finished, bytes) {
+        if !self.set_status(key, RunStatus::Finished, bytes) {
             return;
         }
         self.answers.push_back(key.clone());
         self.answer_bytes += bytes;
         while self.answer_bytes > self.cfg.max_answer_bytes {
             let Some(oldest) = self.answers.pop_front() else { return };
-            self.forget_answer(&oldest);
+            self.drop_answer(&oldest);
             self.dropped.push(oldest);
         }
     }
 
-    /// Keys whose answers need not be held any more, since the last call.
+    /// Keys whose answers were dropped since the last call.
     pub fn take_dropped(&mut self) -> Vec<RequestKey> {
         std::mem::take(&mut self.dropped)
     }
 
-    /// A key recorded as running certainly did not begin: it may be ordered again. The ballot it
-    /// was ordered at stays promised.
+    /// Reverts the start of a key recorded as running whose run certainly did not begin: it may be
+    /// ordered again. The ballot of the order stays promised.
     pub fn undo_start(&mut self, key: &RequestKey, ballot: &Ballot) {
         let Some(record) = self.records.get_mut(key) else { return };
-        if !matches!(record.state, State::Ran { ran: RunStatus::Running, .. }) {
+        if !matches!(record.state, State::Ran { status: RunStatus::Running, .. }) {
             return;
         }
         if *ballot == Ballot::Home {
             self.records.remove(key);
         } else {
-            record.state = State::Barred { ballot: ballot.clone(), vouched: true };
+            record.state = State::Barred { ballot: ballot.clone(), covered: true };
         }
     }
 
-    /// A running key ended without an answer: [`RunStatus::Cancelled`] or [`RunStatus::Failed`].
-    pub fn end(&mut self, key: &RequestKey, ran: RunStatus) {
-        self.set_ran(key, ran, 0);
+    /// Records that a running key ended without an answer, by [`RunStatus::Cancelled`] or
+    /// [`RunStatus::Failed`].
+    pub fn end(&mut self, key: &RequestKey, status: RunStatus) {
+        self.set_status(key, status, 0);
     }
 
-    /// Records held now.
+    /// The number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// True when no record is held.
+    /// True if there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Bytes of answers held now.
+    /// Total size of the retained answers, in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.answer_bytes
     }
 
-    fn order_unseen(&mut self, key: &RequestKey, ballot: &Ballot, now: Millis) -> OrderReply {
+    fn order_new_key(&mut self, key: &RequestKey, ballot: &Ballot, now: Millis) -> OrderReply {
         if *ballot != Ballot::Home {
             return OrderReply::InDoubt;
         }
@@ -241,17 +253,17 @@
         }
     }
 
-    fn bar_unseen(&mut self, key: &RequestKey, ballot: &Ballot, now: Millis) -> BarReply {
+    fn bar_new_key(&mut self, key: &RequestKey, ballot: &Ballot, now: Millis) -> BarReply {
         if self.is_full() {
             return BarReply::TableFull;
         }
-        let vouched = self.cfg.coverage.key_age(key_time(key), now) == KeyAge::Covered;
-        self.insert(key, State::Barred { ballot: ballot.clone(), vouched }, now);
-        if vouched { BarReply::Clean { earlier: None } } else { BarReply::CannotSay }
+        let covered = self.cfg.coverage.key_age(key_time(key), now) == KeyAge::Covered;
+        self.insert(key, State::Barred { ballot: ballot.clone(), covered }, now);
+        if covered { BarReply::Clean { earlier: None } } else { BarReply::CannotSay }
     }
 
     fn run(&mut self, key: &RequestKey, now: Millis) -> OrderReply {
-        self.insert(key, State::Ran { ran: RunStatus::Running, bytes: 0 }, now);
+        self.insert(key, State::Ran { status: RunStatus::Running, bytes: 0 }, now);
         OrderReply::Run
     }
 
@@ -264,10 +276,10 @@
         self.records.len() >= self.cfg.max_records
     }
 
-    fn set_ran(&mut self, key: &RequestKey, next: RunStatus, size: usize) -> bool {
+    fn set_status(&mut self, key: &RequestKey, next: RunStatus, size: usize) -> bool {
         match self.records.get_mut(key).map(|record| &mut record.state) {
-            Some(State::Ran { ran, bytes }) if *ran == RunStatus::Running => {
-                *ran = next;
+            Some(State::Ran { status, bytes }) if *status == RunStatus::Running => {
+                *status = next;
                 *bytes = size;
                 true
             }
@@ -275,46 +287,46 @@
         }
     }
 
-    fn forget_answer(&mut self, key: &RequestKey) {
+    fn drop_answer(&mut self, key: &RequestKey) {
         let Some(record) = self.records.get_mut(key) else { return };
-        if let State::Ran { ran, bytes } = &mut record.state
-            && *ran == RunStatus::Finished
+        if let State::Ran { status, bytes } = &mut record.state
+            && *status == RunStatus::Finished
         {
             self.answer_bytes = self.answer_bytes.saturating_sub(*bytes);
-            *ran = RunStatus::AnswerGone;
+            *status = RunStatus::AnswerGone;
             *bytes = 0;
         }
     }
 
-    /// Drops records past their life. A running key is kept however old it is.
-    fn drop_old(&mut self, now: Millis) {
-        let life = self.cfg.coverage.retention();
+    /// Removes expired records. The record of a running key is kept whatever its age.
+    fn remove_expired(&mut self, now: Millis) {
+        let retention = self.cfg.coverage.retention();
         while let Some((made, key)) = self.by_age.front() {
-            if now.since(*made) <= life {
+            if now.since(*made) <= retention {
                 return;
             }
             let (made, key) = (*made, key.clone());
             self.by_age.pop_front();
-            self.drop_record(&key, made, now);
+            self.remove_record(&key, made, now);
         }
     }
 
-    fn drop_record(&mut self, key: &RequestKey, made: Millis, now: Millis) {
+    fn remove_record(&mut self, key: &RequestKey, made: Millis, now: Millis) {
         let Some(record) = self.records.get(key) else { return };
         if record.made != made {
             return;
         }
-        if matches!(record.state, State::Ran { ran: RunStatus::Running, .. }) {
-            self.insert_again(key, now);
+        if matches!(record.state, State::Ran { status: RunStatus::Running, .. }) {
+            self.renew_record(key, now);
             return;
         }
-        self.forget_answer(key);
+        self.drop_answer(key);
         self.records.remove(key);
-        self.answers.retain(|held| held != key);
+        self.answers.retain(|retained| retained != key);
         self.dropped.push(key.clone());
     }
 
-    fn insert_again(&mut self, key: &RequestKey, now: Millis) {
+    fn renew_record(&mut self, key: &RequestKey, now: Millis) {
         if let Some(record) = self.records.get_mut(key) {
             record.made = now;
             self.by_age.push_back((now, key.clone()));
