--- a/crates/bulrushusher_once/src/home.rs
+++ b/crates/bulrushusher_once/src/home.rs
@@ -1,4 +1,4 @@
-//! What an agent knows as the home of keys: which executor each was given to.
+//! The home table of an agent: which executor each key was assigned to.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -9,77 +9,77 @@
 
 use crate::{KeyAge, RecordCoverage, home_of, key_time};
 
-/// Earlier endpoint lists remembered while some home has not acknowledged the next one.
+/// Earlier endpoint lists kept while a home has not acknowledged the list that follows.
 const MAX_EARLIER_LISTS: usize = 16;
 
-/// Bounds of a home's table.
+/// Limits of a home table.
 #[derive(Clone, Copy, Debug)]
 pub struct HomeConfig {
-    /// Records held at once; one more is refused.
+    /// Maximum number of records; further claims and bars are refused.
     pub max_records: usize,
-    /// When this home vouches for a key that it has no record of.
+    /// The time span for which no record means never assigned.
     pub coverage: RecordCoverage,
 }
 
-/// The home's answer to a claim.
+/// The home's reply to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimReply {
     /// The claim is recorded; the executor may run the key at ballot [`crate::Ballot::Home`].
     Recorded,
-    /// The key belongs to another executor; attach there.
+    /// The key is assigned to another executor; attach there.
     Held(EndpointName),
-    /// This home cannot vouch for the key; bar it.
+    /// The key may be older than this home's records, or may have had another home; bar it.
     InDoubt,
-    /// This agent is not the key's home by the list that it holds, of that revision.
+    /// By this agent's list the agent is not the key's home, or the claim used another revision.
     OtherList {
-        /// Revision of the list held here.
+        /// The revision of this agent's list.
         revision: u64,
     },
-    /// The key is older than the retry horizon; it was not run by this claim.
+    /// The key is older than the retry horizon; the claim was refused.
     TooOld,
-    /// The table is full; not recorded.
+    /// The table is full; the claim was not recorded.
     TableFull,
 }
 
-/// What a barred home tells.
+/// The home table's part of the reply to a bar.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HomeBarReply {
-    /// The key was given to that executor before.
+    /// The key was assigned to that executor before.
     Given(EndpointName),
-    /// The key was not given to anyone by this home, and will not be.
+    /// This home has not assigned the key, and will not assign it by a claim.
     NotGiven,
 }
 
-/// The table is at its bound.
+/// The home table is full.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("the table of keys is full; come back later")]
+#[display("the home table is full; retry later")]
 pub struct TableFull;
 
-/// A revision of the endpoint list of a service.
+/// One revision of the endpoint list of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceList {
-    /// Its revision.
+    /// The revision.
     pub revision: u64,
-    /// The revision that it came directly after, where the sender knows that there was none in
-    /// between; else 0.
+    /// The revision directly before this one; 0 if the sender may have missed a revision in
+    /// between.
     pub previous: u64,
     /// Endpoints that may run keys.
     pub executors: Vec<EndpointName>,
-    /// Endpoints that were in the list within the retry horizon and are not any more.
+    /// Endpoints that were removed from the list within the retry horizon.
     pub departed: Vec<EndpointName>,
 }
 
-/// Agents that may have given keys away by a list before `revision`, each with the time at which it
-/// acknowledged that revision or a later one. Until then it may still give keys away; what it gave
-/// away before is on its record only.
+/// Agents that may have assigned keys by a list before `revision`, each with the time at which it
+/// acknowledged that revision or a later one. Until then it may still assign keys; only its own
+/// table has the keys that it assigned before.
 #[derive(Clone, Debug)]
 struct EarlierHomes {
     revision: u64,
-    /// The list before, with what its members acknowledged.
+    /// Members of the previous list, with the time of their acknowledgement.
     executors: BTreeMap<EndpointName, Option<Millis>>,
-    /// Agents that may be the home of any key by lists that this agent never saw.
+    /// Agents that may have been the home of any key by lists that this agent missed.
     unknown: BTreeMap<EndpointName, Option<Millis>>,
 }
 
@@ -88,9 +88,9 @@
         self.executors.iter().chain(&self.unknown)
     }
 
-    /// When all that may have given `key` away had acknowledged; `None` while some have not.
-    fn closed_for(&self, key: &RequestKey, me: &EndpointName) -> Option<Millis> {
-        let home = home_of(key, self.executors.keys()).filter(|home| *home != me);
+    /// When the last agent that may have assigned `key` acknowledged; `None` while one has not.
+    fn acknowledged_for(&self, key: &RequestKey, own_name: &EndpointName) -> Option<Millis> {
+        let home = home_of(key, self.executors.keys()).filter(|home| *home != own_name);
         let by_home = match home {
             Some(home) => self.executors[home]?,
             None => Millis(0),
@@ -99,24 +99,24 @@
         by_unknown?.into_iter().chain([by_home]).max()
     }
 
-    /// True when nothing given away by these lists can be sent again.
-    fn is_over(&self, now: Millis, life: Millis) -> bool {
-        self.all().all(|(_, at)| at.is_some_and(|at| now.since(at) > life))
+    /// True if every key assigned by these lists is past the retry horizon.
+    fn is_expired(&self, now: Millis, retention: Millis) -> bool {
+        self.all().all(|(_, at)| at.is_some_and(|at| now.since(at) > retention))
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Claim {
-    /// The key was given to that executor.
+    /// The key was assigned to that executor.
     Given(EndpointName),
-    /// The key was barred before it was given to anyone.
+    /// The key was barred before it was assigned.
     Barred,
 }
 
-/// Which executor each key was given to.
+/// Records which executor each key was assigned to.
 ///
 /// ```
-/// use bulrushusher_once::{ClaimReply, HomeConfig, HomeTable, ServiceList, RecordCoverage};
+/// use bulrushusher_once::{ClaimReply, HomeConfig, HomeTable, RecordCoverage, ServiceList};
 /// use bulrushusher_time::Millis;
 /// use bulrushusher_world::{EndpointName, RequestKey};
 /// let name = |text| EndpointName::try_from(text).unwrap();
@@ -131,7 +131,7 @@
 #[derive(Debug)]
 pub struct HomeTable {
     cfg: HomeConfig,
-    me: EndpointName,
+    own_name: EndpointName,
     list: ServiceList,
     earlier: Vec<EarlierHomes>,
     records: HashMap<RequestKey, Claim>,
@@ -139,11 +139,11 @@
 }
 
 impl HomeTable {
-    /// An empty table of the agent `me`, which knows no list yet and so is nobody's home.
-    pub fn new(me: EndpointName, cfg: HomeConfig) -> HomeTable {
+    /// An empty table of the agent `own_name`. Without a list it is not the home of any key.
+    pub fn new(own_name: EndpointName, cfg: HomeConfig) -> HomeTable {
         HomeTable {
             cfg,
-            me,
+            own_name,
             list: ServiceList::default(),
             earlier: Vec::new(),
             records: HashMap::new(),
@@ -151,71 +151,75 @@
         }
     }
 
-    /// A list of the service's endpoints came. Lower or equal revisions are ignored; false then.
+    /// Sets the endpoint list of the service. Returns false if its revision is not higher than the
+    /// present one; it is ignored then.
     ///
-    /// A key that had another home by the list before is in doubt until that home has acknowledged
-    /// this list or a later one, and for good when it is older than that. Where this agent did not
-    /// see the list before, every key is in doubt until every other agent has; see
+    /// A key that had another home by the previous list is in doubt until that home has
+    /// acknowledged this list or a later one; a key older than that acknowledgement stays in doubt.
+    /// If this agent missed the previous list, this applies to every key and every other agent; see
     /// [`HomeTable::record_ack`].
     pub fn set_list(&mut self, list: ServiceList, now: Millis) -> bool {
         if list.revision <= self.list.revision {
             return false;
         }
-        let saw_before = list.previous == self.list.revision && list.previous != 0;
-        let before = if saw_before { self.list.executors.as_slice() } else { &[] };
+        let has_previous = list.previous == self.list.revision && list.previous != 0;
+        let previous = if has_previous { self.list.executors.as_slice() } else { &[] };
         let mut unknown = list.departed.clone();
-        if !saw_before {
+        if !has_previous {
             unknown.extend(list.executors.iter().cloned());
         }
-        unknown.retain(|name| *name != self.me && !before.contains(name));
+        unknown.retain(|name| *name != self.own_name && !previous.contains(name));
         self.earlier.push(EarlierHomes {
             revision: list.revision,
-            executors: before.iter().map(|name| (name.clone(), None)).collect(),
+            executors: previous.iter().map(|name| (name.clone(), None)).collect(),
             unknown: unknown.into_iter().map(|name| (name, None)).collect(),
         });
         self.list = list;
-        let (me, revision) = (self.me.clone(), self.list.revision);
-        self.record_ack(&me, revision, now);
+        let (own_name, revision) = (self.own_name.clone(), self.list.revision);
+        self.record_ack(&own_name, revision, now);
         if self.earlier.len() > MAX_EARLIER_LISTS {
-            self.forget_lists(now);
+            self.merge_earlier_lists(now);
         }
         true
     }
 
-    /// `agent` holds the list of `revision`, or is gone for longer than the VM list's lag.
+    /// Records that `agent` has the list of `revision`, or has been gone for longer than the lag of
+    /// the VM list.
     pub fn record_ack(&mut self, agent: &EndpointName, revision: u64, now: Millis) {
         for earlier in self.earlier.iter_mut().filter(|earlier| earlier.revision <= revision) {
-            let held = [earlier.executors.get_mut(agent), earlier.unknown.get_mut(agent)];
-            for at in held.into_iter().flatten() {
+            let entries = [earlier.executors.get_mut(agent), earlier.unknown.get_mut(agent)];
+            for at in entries.into_iter().flatten() {
                 at.get_or_insert(now);
             }
         }
-        let life = self.cfg.coverage.retention();
-        self.earlier.retain(|earlier| !earlier.is_over(now, life));
+        let retention = self.cfg.coverage.retention();
+        self.earlier.retain(|earlier| !earlier.is_expired(now, retention));
     }
 
-    /// Agents that have still to acknowledge the present list.
+    /// Agents that have not acknowledged the present list yet.
     pub fn pending_acks(&self) -> Vec<EndpointName> {
         let all = self.earlier.iter().flat_map(EarlierHomes::all);
-        let open: BTreeSet<_> = all.filter(|(_, at)| at.is_none()).map(|(name, _)| name).collect();
-        open.into_iter().cloned().collect()
+        let pending: BTreeSet<_> =
+            all.filter(|(_, at)| at.is_none()).map(|(name, _)| name).collect();
+        pending.into_iter().cloned().collect()
     }
 
-    /// Too many lists to tell apart: every key is in doubt until all agents in them have
-    /// acknowledged the last, and every key that is older than now.
-    fn forget_lists(&mut self, now: Millis) {
+    /// Merges the earlier lists when there are too many to track one by one. Every key is then in
+    /// doubt until all their agents have acknowledged the present list, and every key older than
+    /// `now` stays in doubt.
+    fn merge_earlier_lists(&mut self, now: Millis) {
         let unknown = self.pending_acks().into_iter().map(|name| (name, None)).collect();
         let revision = self.list.revision;
         self.earlier = vec![EarlierHomes { revision, executors: BTreeMap::new(), unknown }];
         self.cfg.coverage.since = self.cfg.coverage.since.max(now);
     }
 
-    /// The revision of the list held; 0 for none.
+    /// The revision of the present list; 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.list.revision
     }
 
-    /// An entry that holds the list of `revision` wants `executor` to run `key`.
+    /// Handles a claim of an entry, by its list of `revision`, that `executor` shall run `key`.
     pub fn claim(
         &mut self,
         key: &RequestKey,
@@ -223,18 +227,18 @@
         revision: u64,
         now: Millis,
     ) -> ClaimReply {
-        self.drop_old(now);
+        self.remove_expired(now);
         match self.records.get(key) {
-            Some(Claim::Given(held)) if held == executor => return ClaimReply::Recorded,
-            Some(Claim::Given(held)) => return ClaimReply::Held(held.clone()),
+            Some(Claim::Given(assigned)) if assigned == executor => return ClaimReply::Recorded,
+            Some(Claim::Given(assigned)) => return ClaimReply::Held(assigned.clone()),
             Some(Claim::Barred) => return ClaimReply::InDoubt,
             None => {}
         }
-        let is_home = home_of(key, &self.list.executors) == Some(&self.me);
+        let is_home = home_of(key, &self.list.executors) == Some(&self.own_name);
         if revision != self.list.revision || !is_home {
             return ClaimReply::OtherList { revision: self.list.revision };
         }
-        let Some(since) = self.vouches_since(key) else { return ClaimReply::InDoubt };
+        let Some(since) = self.covers_since(key) else { return ClaimReply::InDoubt };
         let coverage = RecordCoverage { since, ..self.cfg.coverage };
         match coverage.key_age(key_time(key), now) {
             KeyAge::InDoubt => ClaimReply::InDoubt,
@@ -246,12 +250,12 @@
         }
     }
 
-    /// A key is barred: from now on it is given to nobody by a claim.
+    /// Bars a key: from now on no claim assigns it.
     ///
     /// # Errors
-    /// [`TableFull`] when that cannot be put on record.
+    /// [`TableFull`] if the bar could not be recorded.
     pub fn bar(&mut self, key: &RequestKey, now: Millis) -> Result<HomeBarReply, TableFull> {
-        self.drop_old(now);
+        self.remove_expired(now);
         match self.records.get(key).cloned() {
             Some(Claim::Given(executor)) => Ok(HomeBarReply::Given(executor)),
             Some(Claim::Barred) => Ok(HomeBarReply::NotGiven),
@@ -260,24 +264,24 @@
         }
     }
 
-    /// Records held now.
+    /// The number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// True when no record is held.
+    /// True if there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Since when this home alone gives `key` away; `None` while another may.
-    fn vouches_since(&self, key: &RequestKey) -> Option<Millis> {
-        let closed = self.earlier.iter().map(|earlier| earlier.closed_for(key, &self.me));
-        let closed: Option<Vec<Millis>> = closed.collect();
-        closed?.into_iter().chain([self.cfg.coverage.since]).max()
+    /// Since when only this home can have assigned `key`; `None` while another agent may assign it.
+    fn covers_since(&self, key: &RequestKey) -> Option<Millis> {
+        let acks = self.earlier.iter().map(|earlier| earlier.acknowledged_for(key, &self.own_name));
+        let acks: Option<Vec<Millis>> = acks.collect();
+        acks?.into_iter().chain([self.cfg.coverage.since]).max()
     }
 
-    /// Puts `claim` on record; false when the table is full.
+    /// Records `claim`; returns false if the table is full.
     fn record(&mut self, key: &RequestKey, claim: Claim, now: Millis) -> bool {
         if self.records.len() >= self.cfg.max_records {
             return false;
@@ -287,10 +291,10 @@
         true
     }
 
-    fn drop_old(&mut self, now: Millis) {
-        let life = self.cfg.coverage.retention();
+    fn remove_expired(&mut self, now: Millis) {
+        let retention = self.cfg.coverage.retention();
         while let Some((made, _)) = self.by_age.front() {
-            if now.since(*made) <= life {
+            if now.since(*made) <= retention {
                 return;
             }
             if let Some((_, key)) = self.by_age.pop_front() {
--- a/crates/bulrushusher_once/src/records.rs
+++ b/crates/bulrushusher_once/src/records.rs
@@ -1,4 +1,4 @@
-//! Everything an agent remembers of keys: as their executor, as their home, and of the list.
+//! An agent's records of keys: its executor table, its home table and the endpoint list.
 
 use bulrushusher_time::Millis;
 use bulrushusher_world::{EndpointName, RequestKey};
@@ -8,21 +8,21 @@
     HomeConfig, HomeTable, OrderReply, RecordCoverage, RunStatus, ServiceList, home_of,
 };
 
-/// Bounds of an agent's records.
+/// Limits of an agent's records.
 #[derive(Clone, Copy, Debug)]
 pub struct RecordsConfig {
-    /// Keys on record, as executor and again as home.
+    /// Maximum records of the executor table, and also of the home table.
     pub max_keys: usize,
-    /// Bytes of finished answers held at once.
+    /// Maximum total size of retained finished answers, in bytes.
     pub max_answer_bytes: usize,
-    /// When this agent vouches for a key that it has no record of.
+    /// The time span for which no record means never seen.
     pub coverage: RecordCoverage,
 }
 
 /// An agent's records.
 ///
 /// ```
-/// use bulrushusher_once::{Ballot, KeyRecords, OrderReply, RecordsConfig, RecordCoverage};
+/// use bulrushusher_once::{Ballot, KeyRecords, OrderReply, RecordCoverage, RecordsConfig};
 /// use bulrushusher_time::Millis;
 /// use bulrushusher_world::{EndpointName, RequestKey};
 /// let name = |text| EndpointName::try_from(text).unwrap();
@@ -32,52 +32,56 @@
 /// let key = RequestKey::try_from("order-7").unwrap();
 /// let now = Millis(5_000);
 /// let shared = records.order(&key, true, &Ballot::Home, now);
-/// assert_eq!(shared, OrderReply::InDoubt, "no list yet: it may be the key's home");
+/// assert_eq!(shared, OrderReply::InDoubt, "no list yet: this agent may be the key's home");
 /// assert_eq!(records.order(&key, false, &Ballot::Home, now), OrderReply::Run);
 /// ```
 #[derive(Debug)]
 pub struct KeyRecords {
-    me: EndpointName,
+    own_name: EndpointName,
     executor: ExecutorTable,
     home: HomeTable,
     executors: Vec<EndpointName>,
-    heard_revision: u64,
+    /// The highest list revision seen in bars.
+    seen_revision: u64,
 }
 
 impl KeyRecords {
-    /// Empty records of the agent `me`.
-    pub fn new(me: EndpointName, cfg: RecordsConfig) -> KeyRecords {
+    /// Empty records of the agent `own_name`.
+    pub fn new(own_name: EndpointName, cfg: RecordsConfig) -> KeyRecords {
         let RecordsConfig { max_keys: max_records, max_answer_bytes, coverage } = cfg;
         let executor = ExecutorConfig { max_records, max_answer_bytes, coverage };
         KeyRecords {
             executor: ExecutorTable::new(executor),
-            home: HomeTable::new(me.clone(), HomeConfig { max_records, coverage }),
-            me,
+            home: HomeTable::new(own_name.clone(), HomeConfig { max_records, coverage }),
+            own_name,
             executors: Vec::new(),
-            heard_revision: 0,
+            seen_revision: 0,
         }
     }
 
-    /// The list of this service's endpoints. Lower or equal revisions are ignored; false then.
+    /// Sets the endpoint list of the service. Returns false if its revision is not higher than the
+    /// present one; it is ignored then.
     pub fn set_list(&mut self, list: ServiceList, now: Millis) -> bool {
         let executors = list.executors.clone();
         if !self.home.set_list(list, now) {
             return false;
         }
-        if executors.contains(&self.me) && !self.executors.contains(&self.me) {
+        if executors.contains(&self.own_name) && !self.executors.contains(&self.own_name) {
             self.executor.joined(now);
         }
         self.executors = executors;
         true
     }
 
-    /// Whether an order for `key` at [`Ballot::Home`] would be refused for want of memory.
+    /// Whether an order for `key` at [`Ballot::Home`] would be refused because the key may be older
+    /// than this agent's records.
     pub fn is_in_doubt(&self, key: &RequestKey, now: Millis) -> bool {
         self.executor.is_in_doubt(key, now)
     }
 
-    /// An order to run `key` came; `shared` when its caller chose the key. A home does not run the
-    /// keys that it homes, so that its loss leaves no doubt about them.
+    /// Handles an order to run `key`. `shared` is true if the caller chose the key, so that other
+    /// requests may use it too. The home of a shared key does not run it, so that the loss of the
+    /// home alone does not make it unknown whether the key ran.
     pub fn order(
         &mut self,
         key: &RequestKey,
@@ -91,7 +95,7 @@
         self.executor.order(key, ballot, now)
     }
 
-    /// An entry that holds the list of `revision` wants `executor` to run `key`.
+    /// Handles a claim of an entry, by its list of `revision`, that `executor` shall run `key`.
     pub fn claim(
         &mut self,
         key: &RequestKey,
@@ -102,7 +106,7 @@
         self.home.claim(key, executor, revision, now)
     }
 
-    /// An entry that holds the list of `revision` bars `key`.
+    /// Handles a bar of `key` by an entry that has the list of `revision`.
     pub fn bar(
         &mut self,
         key: &RequestKey,
@@ -110,61 +114,64 @@
         revision: u64,
         now: Millis,
     ) -> BarResponse {
-        self.heard_revision = self.heard_revision.max(revision);
+        self.seen_revision = self.seen_revision.max(revision);
         let (reply, home) = match self.home.bar(key, now) {
             Ok(home) => (self.executor.bar(key, ballot, now), home),
             Err(_) => (BarReply::TableFull, HomeBarReply::NotGiven),
         };
-        BarResponse { reply, home, revision: self.heard_revision.max(self.home.revision()) }
+        BarResponse { reply, home, revision: self.seen_revision.max(self.home.revision()) }
     }
 
-    /// What is known of `key` as its executor; `None` when it never ran here.
+    /// The status of the run of `key` at this endpoint; `None` if it has no run on record.
     pub fn run_status(&self, key: &RequestKey) -> Option<RunStatus> {
         self.executor.run_status(key)
     }
 
-    /// A running key finished with an answer of `bytes`; see [`ExecutorTable::finish`].
+    /// Records that a running key finished with an answer of `bytes`; see
+    /// [`ExecutorTable::finish`].
     pub fn finish(&mut self, key: &RequestKey, bytes: usize) {
         self.executor.finish(key, bytes);
     }
 
-    /// A running key ended without an answer.
-    pub fn end(&mut self, key: &RequestKey, ran: RunStatus) {
-        self.executor.end(key, ran);
+    /// Records that a running key ended without an answer; see [`ExecutorTable::end`].
+    pub fn end(&mut self, key: &RequestKey, status: RunStatus) {
+        self.executor.end(key, status);
     }
 
-    /// A key recorded as running certainly did not begin; see [`ExecutorTable::undo_start`].
+    /// Reverts a recorded start that certainly did not happen; see [`ExecutorTable::undo_start`].
     pub fn undo_start(&mut self, key: &RequestKey, ballot: &Ballot) {
         self.executor.undo_start(key, ballot);
     }
 
-    /// Keys whose answers need not be held any more, since the last call.
+    /// Keys whose answers were dropped since the last call.
     pub fn take_dropped(&mut self) -> Vec<RequestKey> {
         self.executor.take_dropped()
     }
 
-    /// Agents that have still to acknowledge the present list.
+    /// Agents that have not acknowledged the present list yet.
     pub fn pending_acks(&self) -> Vec<EndpointName> {
         self.home.pending_acks()
     }
 
-    /// `agent` holds the list of `revision`.
+    /// Records that `agent` has the list of `revision`.
     pub fn record_ack(&mut self, agent: &EndpointName, revision: u64, now: Millis) {
         self.home.record_ack(agent, revision, now);
     }
 
-    /// The revision of the list held; 0 for none.
+    /// The revision of the present list; 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.home.revision()
     }
 
-    /// Keys on record as executor and as home, and bytes of answers held.
+    /// The number of executor records, the number of home records, and the bytes of retained
+    /// answers.
     pub fn sizes(&self) -> (usize, usize, usize) {
         (self.executor.len(), self.home.len(), self.executor.answer_bytes())
     }
 
     fn may_be_home(&self, key: &RequestKey) -> bool {
-        let others = self.executors.len() > 1;
-        self.revision() == 0 || (others && home_of(key, &self.executors) == Some(&self.me))
+        let has_others = self.executors.len() > 1;
+        self.revision() == 0
+            || (has_others && home_of(key, &self.executors) == Some(&self.own_name))
     }
 }
