--- a/crates/bulrushusher_once/src/settlement.rs
+++ b/crates/bulrushusher_once/src/settlement.rs
@@ -1,5 +1,6 @@
-//! An entry's way to the right to run a key: the home's claim, and the bar when the home cannot
-//! vouch. Does no I/O: the entry carries out each [`SettleAction`] and reports what came back.
+//! How an entry obtains the right to run a key: a claim at the key's home, and bar rounds if the
+//! home is unreachable or its records may be incomplete. Does no I/O: the entry carries out each
+//! [`SettleAction`] and reports the replies.
 
 use bulrushusher_time::Millis;
 use bulrushusher_world::{EndpointName, RequestKey};
@@ -8,24 +9,24 @@
     Ballot, BarResponse, BarRound, BarVerdict, ClaimReply, Owner, RunStatus, home_of, key_time,
 };
 
-/// Rounds of a bar before a request gives way to the others that want the same key.
+/// Maximum bar rounds; then the request yields to the others that contend for the key.
 const MAX_ROUNDS: u32 = 8;
 
-/// The endpoint list as an entry holds it.
+/// An entry's copy of the endpoint list of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListView {
-    /// Its revision.
+    /// The revision.
     pub revision: u64,
     /// Endpoints that may run keys of the service.
     pub executors: Vec<EndpointName>,
-    /// Endpoints that were in the list within the retry horizon and are not any more.
+    /// Endpoints that were removed from the list within the retry horizon.
     pub departed: Vec<EndpointName>,
-    /// When the entry learned this list.
+    /// When the entry received this list.
     pub learned: Millis,
 }
 
 impl ListView {
-    /// The key's home, where another endpoint could run the key.
+    /// The key's home; `None` if there is no other endpoint that could run the key.
     pub fn home(&self, key: &RequestKey) -> Option<&EndpointName> {
         if self.executors.len() < 2 {
             return None;
@@ -34,75 +35,76 @@
     }
 }
 
-/// What the request wants.
+/// The key to settle, and for whom.
 #[derive(Clone, Debug)]
 pub struct SettleRequest {
     /// The key.
     pub key: RequestKey,
-    /// True when it may run more than once.
+    /// True if the key may run more than once.
     pub idempotent: bool,
-    /// Who asks; a new one for each settlement.
+    /// The owner of the ballots; a new one for each settlement.
     pub owner: Owner,
-    /// Largest difference between two clocks.
+    /// Maximum clock skew between two processes.
     pub skew: Millis,
 }
 
-/// What the entry has to do next.
+/// The next step for the entry to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettleAction {
-    /// Ask this home to give the key to this executor; report by [`Settlement::record_claim_reply`].
+    /// Claim the key for this executor at its home, and pass the reply to
+    /// [`Settlement::record_claim_reply`].
     Claim {
         /// The home.
         home: EndpointName,
         /// The executor.
         executor: EndpointName,
-        /// The revision of the list that both were taken from.
+        /// The revision of the list that both are from.
         revision: u64,
     },
-    /// Ask these agents to bar the key; report each by [`Settlement::record_bar_reply`].
+    /// Bar the key at these agents, and pass each reply to [`Settlement::record_bar_reply`].
     Bar {
         /// The agents.
         agents: Vec<EndpointName>,
         /// The ballot.
         ballot: Ballot,
-        /// The revision of the list that they were taken from.
+        /// The revision of the list that they are from.
         revision: u64,
     },
-    /// Take the list anew, pause for a moment, and call [`Settlement::next_round`].
+    /// Wait briefly, fetch the current list, and call [`Settlement::next_round`].
     Pause,
-    /// Done.
+    /// The settlement is complete.
     Done(Settled),
 }
 
-/// How it came out.
+/// The result of a settlement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Settled {
-    /// Run the key at this ballot: at the executor asked for when it is [`Ballot::Home`], else at
+    /// Run the key at this ballot: at the claimed executor if it is [`Ballot::Home`], otherwise at
     /// any one executor of the list.
     Run(Ballot),
-    /// The key belongs to that endpoint: attach there. `ran` tells that it began there for certain.
+    /// The key is assigned to that endpoint: attach there.
     Attach {
         /// The endpoint.
         executor: EndpointName,
-        /// True when it began there for certain.
+        /// True if its run is certain to have started there.
         ran: bool,
     },
-    /// It may not run, for that reason.
+    /// The key may not run.
     Failed(SettleFailure),
 }
 
 /// Why a key may not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettleFailure {
-    /// It is older than the retry horizon.
+    /// The key is older than the retry horizon.
     TooOld,
-    /// It ran, and its answer cannot be had.
+    /// The key ran, and its answer is not available.
     RanWithoutAnswer(RunStatus),
-    /// An endpoint that may have run it cannot tell.
+    /// An endpoint that may have run the key is unreachable or has incomplete records.
     Unknown,
-    /// A table is full.
+    /// The table of an agent is full.
     TableFull,
-    /// Others want the same key, and went first again and again.
+    /// Other settlements of the same key took precedence in every round.
     Contended,
 }
 
@@ -114,7 +116,7 @@
     Done(Settled),
 }
 
-/// One request's settlement of its key.
+/// Obtains the right to run a key for one request.
 ///
 /// ```
 /// use bulrushusher_once::{
@@ -123,7 +125,7 @@
 /// use bulrushusher_time::Millis;
 /// use bulrushusher_world::{EndpointName, EntryName, RequestKey};
 /// let name = |text| EndpointName::try_from(text).unwrap();
-/// let ask = SettleRequest {
+/// let req = SettleRequest {
 ///     key: RequestKey::try_from("order-7").unwrap(),
 ///     idempotent: false,
 ///     owner: Owner {
@@ -132,40 +134,40 @@
 ///     skew: Millis(10),
 /// };
 /// let view = ListView { revision: 3, executors: vec![name("d1")], ..ListView::default() };
-/// let mut settlement = Settlement::claim(ask, view, name("d1"));
+/// let mut settlement = Settlement::claim(req, view, name("d1"));
 /// assert!(matches!(settlement.action(), SettleAction::Claim { .. }));
 /// settlement.record_claim_reply(Some(ClaimReply::Recorded));
 /// assert_eq!(settlement.action(), SettleAction::Done(Settled::Run(Ballot::Home)));
 /// ```
 #[derive(Debug)]
 pub struct Settlement {
-    ask: SettleRequest,
+    req: SettleRequest,
     view: ListView,
     rounds: u32,
     state: State,
 }
 
 impl Settlement {
-    /// Begins with a claim at the key's home for `executor`.
-    pub fn claim(ask: SettleRequest, view: ListView, executor: EndpointName) -> Settlement {
+    /// Starts with a claim for `executor` at the key's home.
+    pub fn claim(req: SettleRequest, view: ListView, executor: EndpointName) -> Settlement {
         // The only endpoint is the home of its own keys.
-        let home = view.home(&ask.key).or(view.executors.first()).cloned();
+        let home = view.home(&req.key).or(view.executors.first()).cloned();
         let state = match home {
             Some(home) => State::Claiming { home, executor },
             None => State::Done(Settled::Failed(SettleFailure::Unknown)),
         };
-        Settlement { ask, view, rounds: 0, state }
+        Settlement { req, view, rounds: 0, state }
     }
 
-    /// Begins with a bar above a ballot.
-    pub fn bar(ask: SettleRequest, view: ListView, above: Ballot) -> Settlement {
+    /// Starts with a bar round above the given ballot.
+    pub fn bar(req: SettleRequest, view: ListView, above: Ballot) -> Settlement {
         let state = State::Pausing { above: above.clone() };
-        let mut settlement = Settlement { ask, view, rounds: 0, state };
-        settlement.begin_round(&above);
+        let mut settlement = Settlement { req, view, rounds: 0, state };
+        settlement.start_round(&above);
         settlement
     }
 
-    /// What to do next. Asking twice gives the same.
+    /// The next step. Repeated calls return the same step until a reply is recorded.
     pub fn action(&self) -> SettleAction {
         let revision = self.view.revision;
         match &self.state {
@@ -182,7 +184,7 @@
         }
     }
 
-    /// The home's answer to the claim; `None` when it did not answer.
+    /// Records the home's reply to the claim; `None` if it did not reply.
     pub fn record_claim_reply(&mut self, reply: Option<ClaimReply>) {
         if !matches!(self.state, State::Claiming { .. }) {
             return;
@@ -193,22 +195,27 @@
             Some(ClaimReply::TooOld) => Settled::Failed(SettleFailure::TooOld),
             Some(ClaimReply::TableFull) => Settled::Failed(SettleFailure::TableFull),
             Some(ClaimReply::InDoubt | ClaimReply::OtherList { .. }) | None => {
-                self.begin_round(&Ballot::Home);
+                self.start_round(&Ballot::Home);
                 return;
             }
         };
         self.state = State::Done(settled);
     }
 
-    /// An agent's answer to the bar at `ballot`; `None` when it did not answer. Answers to other
-    /// ballots are ignored.
-    pub fn record_bar_reply(&mut self, agent: &EndpointName, ballot: &Ballot, heard: Option<BarResponse>) {
+    /// Records an agent's reply to the bar at `ballot`; `None` if it did not reply. Replies for
+    /// other ballots are ignored.
+    pub fn record_bar_reply(
+        &mut self,
+        agent: &EndpointName,
+        ballot: &Ballot,
+        response: Option<BarResponse>,
+    ) {
         let State::Barring(round) = &mut self.state else { return };
         if round.ballot() != ballot {
             return;
         }
-        match heard {
-            Some(heard) => round.record_reply(agent, heard),
+        match response {
+            Some(response) => round.record_reply(agent, response),
             None => round.record_unreachable(agent),
         }
         if let Some(verdict) = round.verdict() {
@@ -217,25 +224,25 @@
         }
     }
 
-    /// After a pause: another round, by the list as it is now.
+    /// Starts another round after a pause, by the current list.
     pub fn next_round(&mut self, view: ListView) {
         let State::Pausing { above } = &self.state else { return };
         let above = above.clone();
         self.view = view;
-        self.begin_round(&above);
+        self.start_round(&above);
     }
 
-    fn begin_round(&mut self, above: &Ballot) {
+    fn start_round(&mut self, above: &Ballot) {
         self.rounds += 1;
         if self.rounds > MAX_ROUNDS {
             self.state = State::Done(Settled::Failed(SettleFailure::Contended));
             return;
         }
-        let ballot = above.next(&self.ask.owner);
+        let ballot = above.next(&self.req.owner);
         let view = &self.view;
         let younger_than_list =
-            key_time(&self.ask.key).is_some_and(|time| time > view.learned.plus(self.ask.skew));
-        let idle_home = view.home(&self.ask.key).filter(|_| younger_than_list).cloned();
+            key_time(&self.req.key).is_some_and(|time| time > view.learned.plus(self.req.skew));
+        let idle_home = view.home(&self.req.key).filter(|_| younger_than_list).cloned();
         let agents = view.executors.iter().chain(&view.departed).cloned();
         self.state = State::Barring(BarRound::new(ballot, view.revision, agents, idle_home));
     }
@@ -246,7 +253,7 @@
             BarVerdict::Ran(executor, RunStatus::Running | RunStatus::Finished) => {
                 Settled::Attach { executor, ran: true }
             }
-            BarVerdict::Ran(..) | BarVerdict::Unknown if self.ask.idempotent => {
+            BarVerdict::Ran(..) | BarVerdict::Unknown if self.req.idempotent => {
                 Settled::Run(ballot)
             }
             BarVerdict::Ran(_, ran) => Settled::Failed(SettleFailure::RanWithoutAnswer(ran)),
