--- a/crates/bulrushusher_once/tests/fuzz.rs
+++ b/crates/bulrushusher_once/tests/fuzz.rs
@@ -1,7 +1,7 @@
-//! Stateful fuzzing of at-most-once: no non-idempotent key runs twice, and no attempt that was told
-//! "not run" runs, whatever is lost, late, restarted or changed meanwhile.
+//! Stateful fuzzing of at-most-once execution: no non-idempotent key runs twice, and no attempt
+//! that was answered "not run" runs, despite lost or delayed messages, restarts and list changes.
 //!
-//! A longer run takes its seed and cases from the environment:
+//! For a longer run, set the seed and the number of cases:
 //! `BULRUSH_FUZZ_SEED=7 BULRUSH_FUZZ_CASES=200000 cargo test --release -p bulrushusher_once --test fuzz -- --nocapture`
 
 mod model;
@@ -17,13 +17,14 @@
 const CASES: u32 = 3_000;
 const SEED: u64 = 11;
 
-static SEEN: Mutex<BTreeMap<&'static str, u64>> = Mutex::new(BTreeMap::new());
+/// How often each event of note happened, over all cases.
+static EVENT_COUNTS: Mutex<BTreeMap<&'static str, u64>> = Mutex::new(BTreeMap::new());
 
 fn from_env<T: std::str::FromStr>(name: &str, default: T) -> T {
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// The oracle has no state of its own: it counts runs in the world.
+/// The reference has no state of its own: the simulation counts the runs and reports violations.
 struct Oracle;
 
 impl ReferenceStateMachine for Oracle {
@@ -61,9 +62,9 @@
     }
 
     fn teardown(world: World, (): ()) {
-        let mut seen = SEEN.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        for (what, count) in world.seen {
-            *seen.entry(what).or_default() += count;
+        let mut counts = EVENT_COUNTS.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        for (event, count) in world.event_counts {
+            *counts.entry(event).or_default() += count;
         }
     }
 }
@@ -80,13 +81,13 @@
     fn at_most_once(sequential 20..160 => AtMostOnce);
 }
 
-/// The fuzzing is worth nothing if its cases never get far: every way of settling is reached.
+/// Guards against cases that end too early to test anything: every way to settle a key occurs.
 #[test]
-fn the_fuzzing_reaches_every_way() {
+fn fuzzing_covers_every_way_to_settle() {
     at_most_once();
-    let seen = SEEN.lock().expect("no test panicked").clone();
-    println!("fuzz: {} cases, {seen:?}", from_env("BULRUSH_FUZZ_CASES", CASES));
-    for what in ["settled by home", "settled by bar", "attached", "run", "found out"] {
-        assert!(seen.get(what).is_some_and(|count| *count > 50), "{what} is rare: {seen:?}");
+    let counts = EVENT_COUNTS.lock().expect("no test panicked").clone();
+    println!("fuzz: {} cases, {counts:?}", from_env("BULRUSH_FUZZ_CASES", CASES));
+    for event in ["settled by home", "settled by bar", "attached", "run", "outcome checked"] {
+        assert!(counts.get(event).is_some_and(|count| *count > 50), "{event} is rare: {counts:?}");
     }
 }
--- a/crates/bulrushusher_once/tests/model/mod.rs
+++ b/crates/bulrushusher_once/tests/model/mod.rs
@@ -1,8 +1,8 @@
-//! A small world of agents, entries and messages around the decision types, for fuzzing.
+//! A simulation of agents, entries and messages around the decision types, for fuzzing.
 //!
-//! Messages may be lost, late, or answered in vain; agents and entries restart with empty memory;
-//! lists change and reach everyone at their own time; clocks differ by up to the skew. The oracle
-//! only counts which attempt ran which key.
+//! Messages may be lost or delayed, and their replies may be lost; agents and entries restart with
+//! empty records; list changes reach each process at a different time; clocks differ by up to the
+//! skew. The oracle only counts which attempt ran which key.
 
 mod step;
 
@@ -21,14 +21,14 @@
 pub const ENTRIES: usize = 3;
 const SKEW: u64 = 50;
 const HORIZON: u64 = 5_000;
-const RESERVATION_LIFE: u64 = 600;
+const RESERVATION_TTL: u64 = 600;
 const START: u64 = 1_000_000;
 const MAX_KEYS: usize = 3;
 
 struct Agent {
     records: KeyRecords,
     incarnation: u64,
-    clock_ahead: u64,
+    clock_offset: u64,
     reservations: BTreeMap<u64, Millis>,
     running: Vec<RequestKey>,
 }
@@ -36,7 +36,7 @@
 struct Entry {
     name: EntryName,
     incarnation: u64,
-    /// Index of the list held.
+    /// Index of its present list.
     list: usize,
     learned: Millis,
 }
@@ -53,21 +53,23 @@
     attempt: usize,
     agent: usize,
     body: Body,
+    /// True until the sender times out.
     awaited: bool,
 }
 
 enum State {
     Settling(Box<Settlement>),
-    /// Settled to run; holds a place at the executor asked for.
+    /// Settled to run; has a reservation at the chosen executor.
     MayRun(Ballot),
     Ordered {
         agent: usize,
         reservation: u64,
         incarnation: u64,
     },
-    ToldNotRun,
-    /// Answered, told "unknown", attached elsewhere, or its entry died.
-    Over,
+    AnsweredNotRun,
+    /// Answered with a result or with "unknown", attached elsewhere, or lost by a restart of its
+    /// entry.
+    Ended,
 }
 
 struct Attempt {
@@ -89,7 +91,7 @@
     made: Millis,
 }
 
-/// The world. `violation` is the first broken promise.
+/// The simulation. `violation` describes a violated guarantee.
 pub struct World {
     now: Millis,
     agents: Vec<Agent>,
@@ -97,14 +99,14 @@
     lists: Vec<List>,
     keys: Vec<Key>,
     attempts: Vec<Attempt>,
-    net: Vec<Message>,
+    in_flight: Vec<Message>,
     runs: BTreeMap<usize, Vec<usize>>,
-    next: u64,
+    next_id: u64,
     pub violation: Option<String>,
-    /// Prints each step and what came of it.
+    /// Prints each step and its result.
     tracing: bool,
-    /// How often something of note happened, to see that the fuzzing reaches it.
-    pub seen: BTreeMap<&'static str, u64>,
+    /// How often each event of note happened, to verify that fuzzing covers it.
+    pub event_counts: BTreeMap<&'static str, u64>,
 }
 
 fn agent_name(n: usize) -> EndpointName {
@@ -121,55 +123,55 @@
             lists: vec![List { members: (0..AGENTS).collect(), made: now }],
             keys: Vec::new(),
             attempts: Vec::new(),
-            net: Vec::new(),
+            in_flight: Vec::new(),
             runs: BTreeMap::new(),
-            next: 1,
+            next_id: 1,
             violation: None,
             tracing: std::env::var_os("BULRUSH_FUZZ_TRACE").is_some(),
-            seen: BTreeMap::new(),
+            event_counts: BTreeMap::new(),
         };
         for n in 0..AGENTS {
-            let clock_ahead = (n as u64 * 17) % (SKEW + 1);
-            let agent = world.fresh_agent(n, clock_ahead);
+            let clock_offset = (n as u64 * 17) % (SKEW + 1);
+            let agent = world.new_agent(n, clock_offset);
             world.agents.push(agent);
         }
         for n in 0..ENTRIES {
             let name = EntryName::try_from(format!("e{n}")).expect("a valid name");
             world.entries.push(Entry { name, incarnation: 1, list: 0, learned: now });
         }
-        world.pass(1_000);
+        world.advance(1_000);
         for n in 0..AGENTS {
-            world.agent_learns(n, 0, false);
+            world.agent_gets_list(n, 0, false);
         }
         for n in 0..AGENTS {
-            world.ask_peers(n);
+            world.poll_peers(n);
         }
-        world.pass(200);
+        world.advance(200);
         world
     }
 
-    fn fresh_agent(&mut self, n: usize, clock_ahead: u64) -> Agent {
-        self.next += 1;
-        let since = self.now.plus(Millis(clock_ahead));
+    fn new_agent(&mut self, n: usize, clock_offset: u64) -> Agent {
+        self.next_id += 1;
+        let since = self.now.plus(Millis(clock_offset));
         let coverage = RecordCoverage { since, skew: Millis(SKEW), horizon: Millis(HORIZON) };
         let cfg = RecordsConfig { max_keys: 100, max_answer_bytes: 1_000, coverage };
         Agent {
             records: KeyRecords::new(agent_name(n), cfg),
-            incarnation: self.next,
-            clock_ahead,
+            incarnation: self.next_id,
+            clock_offset,
             reservations: BTreeMap::new(),
             running: Vec::new(),
         }
     }
 
-    fn trace(&self, what: impl FnOnce() -> String) {
+    fn trace(&self, text: impl FnOnce() -> String) {
         if self.tracing {
-            println!("fuzz:    {}", what());
+            println!("fuzz:    {}", text());
         }
     }
 
-    fn note(&mut self, what: &'static str) {
-        *self.seen.entry(what).or_default() += 1;
+    fn count_event(&mut self, event: &'static str) {
+        *self.event_counts.entry(event).or_default() += 1;
     }
 
     pub fn apply(&mut self, step: &Step) {
@@ -180,37 +182,37 @@
             Step::NewKey { skew, timeless, random } => self.new_key(skew, timeless, random),
             Step::Start { entry, key, executor } => self.start(entry, key, executor),
             Step::Deliver { message, answered } => self.deliver(message, answered),
-            Step::GiveUp { message } => self.give_up(message, false),
-            Step::Drop { message } => self.give_up(message, true),
-            Step::GoOn { attempt, executor } => self.go_on(attempt, executor),
-            Step::FindOut { attempt } => self.find_out(attempt),
+            Step::Timeout { message } => self.time_out(message, false),
+            Step::Drop { message } => self.time_out(message, true),
+            Step::Proceed { attempt, executor } => self.proceed(attempt, executor),
+            Step::CheckOutcome { attempt } => self.check_outcome(attempt),
             Step::RestartAgent { agent } => {
                 let agent = agent % AGENTS;
-                let ahead = self.agents[agent].clock_ahead;
-                self.agents[agent] = self.fresh_agent(agent, ahead);
+                let offset = self.agents[agent].clock_offset;
+                self.agents[agent] = self.new_agent(agent, offset);
             }
             Step::RestartEntry { entry } => self.restart_entry(entry % ENTRIES),
             Step::NewList { members } => self.new_list(members),
-            Step::EntryLearns { entry, skip } => self.entry_learns(entry % ENTRIES, skip),
-            Step::AgentLearns { agent, skip } => {
+            Step::EntryGetsList { entry, skip } => self.entry_gets_list(entry % ENTRIES, skip),
+            Step::AgentGetsList { agent, skip } => {
                 let agent = agent % AGENTS;
                 let held = self.agents[agent].records.revision() as usize;
                 let next = if skip { self.lists.len() - 1 } else { held };
                 if next < self.lists.len() {
-                    self.agent_learns(agent, next, skip && next != held);
+                    self.agent_gets_list(agent, next, skip && next != held);
                 }
             }
-            Step::AskPeers { agent } => self.ask_peers(agent % AGENTS),
+            Step::PollPeers { agent } => self.poll_peers(agent % AGENTS),
             Step::Finish { agent, whole } => self.finish(agent % AGENTS, whole),
-            Step::Pass { ms } => self.pass(ms),
+            Step::Advance { ms } => self.advance(ms),
         }
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now = self.now.plus(Millis(ms));
         let now = self.now;
         for agent in &mut self.agents {
-            agent.reservations.retain(|_, made| now.since(*made).0 < RESERVATION_LIFE);
+            agent.reservations.retain(|_, made| now.since(*made).0 < RESERVATION_TTL);
         }
     }
 
@@ -230,10 +232,10 @@
     }
 
     fn agent_now(&self, agent: usize) -> Millis {
-        self.now.plus(Millis(self.agents[agent].clock_ahead))
+        self.now.plus(Millis(self.agents[agent].clock_offset))
     }
 
-    /// Revision of a list; 0 is "none".
+    /// Revision of a list; 0 means no list.
     fn revision(list: usize) -> u64 {
         list as u64 + 1
     }
@@ -265,7 +267,8 @@
             return;
         }
         let (entry, key) = (entry % ENTRIES, key % self.keys.len());
-        // Keys without a time are new again after the horizon; callers retry within it.
+        // A key without a time counts as new after its record has expired. Callers retry it only
+        // within the horizon.
         if self.keys[key].timeless && self.now.since(self.keys[key].born).0 > HORIZON - 1_000 {
             return;
         }
@@ -278,7 +281,7 @@
         let reservation = self.reserve(executor);
         let now = self.agent_now(executor);
         let in_doubt = self.agents[executor].records.is_in_doubt(&name, now);
-        let ask = SettleRequest {
+        let req = SettleRequest {
             key: name,
             idempotent: false,
             owner: Owner {
@@ -289,43 +292,43 @@
             skew: Millis(SKEW),
         };
         let settlement = match in_doubt {
-            true => Settlement::bar(ask, view, Ballot::Home),
-            false => Settlement::claim(ask, view, agent_name(executor)),
+            true => Settlement::bar(req, view, Ballot::Home),
+            false => Settlement::claim(req, view, agent_name(executor)),
         };
         let state = State::Settling(Box::new(settlement));
         self.attempts.push(Attempt { entry, key, executor, reservation, state });
-        self.ask(self.attempts.len() - 1);
+        self.next_action(self.attempts.len() - 1);
     }
 
     fn reserve(&mut self, agent: usize) -> (u64, u64) {
-        self.next += 1;
-        self.agents[agent].reservations.insert(self.next, self.now);
-        (self.next, self.agents[agent].incarnation)
+        self.next_id += 1;
+        self.agents[agent].reservations.insert(self.next_id, self.now);
+        (self.next_id, self.agents[agent].incarnation)
     }
 
     fn index(name: &EndpointName) -> usize {
-        name.as_str()[1..].parse().expect("a name made here")
+        name.as_str()[1..].parse().expect("a name of the simulation")
     }
 
-    /// Sends what a settlement asks for, or takes its result.
-    fn ask(&mut self, attempt: usize) {
+    /// Carries out the next step of a settlement, or takes its result.
+    fn next_action(&mut self, attempt: usize) {
         let State::Settling(settlement) = &self.attempts[attempt].state else { return };
         match settlement.action() {
             SettleAction::Claim { home, executor, revision } => {
                 let body = Body::Claim { executor, revision };
                 let agent = World::index(&home);
-                self.net.push(Message { attempt, agent, body, awaited: true });
+                self.in_flight.push(Message { attempt, agent, body, awaited: true });
             }
             SettleAction::Bar { agents, ballot, revision } => {
                 for agent in agents {
                     let body = Body::Bar { ballot: ballot.clone(), revision };
                     let agent = World::index(&agent);
-                    self.net.push(Message { attempt, agent, body, awaited: true });
+                    self.in_flight.push(Message { attempt, agent, body, awaited: true });
                 }
             }
             SettleAction::Pause => {}
             SettleAction::Done(Settled::Run(ballot)) => {
-                self.note(if ballot == Ballot::Home {
+                self.count_event(if ballot == Ballot::Home {
                     "settled by home"
                 } else {
                     "settled by bar"
@@ -333,52 +336,52 @@
                 self.attempts[attempt].state = State::MayRun(ballot);
             }
             SettleAction::Done(Settled::Attach { .. }) => {
-                self.note("attached");
-                self.attempts[attempt].state = State::Over;
+                self.count_event("attached");
+                self.attempts[attempt].state = State::Ended;
             }
             SettleAction::Done(Settled::Failed(_)) => {
-                self.note("not settled");
-                self.attempts[attempt].state = State::Over;
+                self.count_event("not settled");
+                self.attempts[attempt].state = State::Ended;
             }
         }
     }
 
     fn deliver(&mut self, message: usize, answered: bool) {
-        if self.net.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let message = self.net.remove(message % self.net.len());
+        let message = self.in_flight.remove(message % self.in_flight.len());
         let now = self.agent_now(message.agent);
         let key = self.keys[self.attempts[message.attempt].key].key.clone();
-        let heard = answered && message.awaited;
+        let reply_arrives = answered && message.awaited;
         self.trace(|| format!("{message:?}"));
         match message.body.clone() {
             Body::Claim { executor, revision } => {
                 let records = &mut self.agents[message.agent].records;
                 let reply = records.claim(&key, &executor, revision, now);
                 self.trace(|| format!("{reply:?}"));
-                self.claimed(message.attempt, heard.then_some(reply));
+                self.claim_replied(message.attempt, reply_arrives.then_some(reply));
             }
             Body::Bar { ballot, revision } => {
-                let heard_of = self.agents[message.agent].records.bar(&key, &ballot, revision, now);
-                self.trace(|| format!("{heard_of:?}"));
-                let answer = heard.then_some(heard_of);
-                if heard || message.awaited {
-                    self.heard(message.attempt, message.agent, &ballot, answer);
+                let response = self.agents[message.agent].records.bar(&key, &ballot, revision, now);
+                self.trace(|| format!("{response:?}"));
+                let response = reply_arrives.then_some(response);
+                if reply_arrives || message.awaited {
+                    self.bar_replied(message.attempt, message.agent, &ballot, response);
                 }
             }
             Body::Run { ballot, reservation, incarnation } => {
                 let ran = self.run(&message, &key, &ballot, (reservation, incarnation));
-                if heard && !ran {
-                    self.attempts[message.attempt].state = State::ToldNotRun;
-                } else if heard {
-                    self.attempts[message.attempt].state = State::Over;
+                if reply_arrives && !ran {
+                    self.attempts[message.attempt].state = State::AnsweredNotRun;
+                } else if reply_arrives {
+                    self.attempts[message.attempt].state = State::Ended;
                 }
             }
         }
     }
 
-    /// An order arrives; true when it runs, or ran here before.
+    /// An order arrives; returns true if the key runs or has run at the agent.
     fn run(
         &mut self,
         message: &Message,
@@ -406,45 +409,52 @@
     }
 
     fn count_run(&mut self, attempt: usize) {
-        self.note("run");
+        self.count_event("run");
         let key = self.attempts[attempt].key;
         let runs = self.runs.entry(key).or_default();
         runs.push(attempt);
         if runs.len() > 1 {
             self.violation = Some(format!("key {key} ran at attempts {runs:?}"));
         }
-        if matches!(self.attempts[attempt].state, State::ToldNotRun) {
-            self.violation = Some(format!("attempt {attempt} ran after it was told \"not run\""));
+        if matches!(self.attempts[attempt].state, State::AnsweredNotRun) {
+            self.violation =
+                Some(format!("attempt {attempt} ran after it was answered \"not run\""));
         }
     }
 
-    fn claimed(&mut self, attempt: usize, reply: Option<ClaimReply>) {
+    fn claim_replied(&mut self, attempt: usize, reply: Option<ClaimReply>) {
         let Some(reply) = reply else { return };
         if let State::Settling(settlement) = &mut self.attempts[attempt].state {
             settlement.record_claim_reply(Some(reply));
-            self.ask(attempt);
+            self.next_action(attempt);
         }
     }
 
-    fn heard(&mut self, attempt: usize, agent: usize, ballot: &Ballot, heard: Option<BarResponse>) {
+    fn bar_replied(
+        &mut self,
+        attempt: usize,
+        agent: usize,
+        ballot: &Ballot,
+        response: Option<BarResponse>,
+    ) {
         if let State::Settling(settlement) = &mut self.attempts[attempt].state {
-            settlement.record_bar_reply(&agent_name(agent), ballot, heard);
+            settlement.record_bar_reply(&agent_name(agent), ballot, response);
             if !matches!(settlement.action(), SettleAction::Bar { .. }) {
-                self.ask(attempt);
+                self.next_action(attempt);
             }
         }
     }
 
-    /// The sender stops waiting; `lost` when the message never arrives.
-    fn give_up(&mut self, message: usize, lost: bool) {
-        if self.net.is_empty() {
+    /// The sender of a message times out; if `lost`, the message never arrives.
+    fn time_out(&mut self, message: usize, lost: bool) {
+        if self.in_flight.is_empty() {
             return;
         }
-        let at = message % self.net.len();
-        let was_awaited = std::mem::replace(&mut self.net[at].awaited, false);
+        let at = message % self.in_flight.len();
+        let was_awaited = std::mem::replace(&mut self.in_flight[at].awaited, false);
         let message = match lost {
-            true => self.net.remove(at),
-            false => self.net[at].clone(),
+            true => self.in_flight.remove(at),
+            false => self.in_flight[at].clone(),
         };
         if !was_awaited {
             return;
@@ -453,22 +463,22 @@
             Body::Claim { .. } => {
                 if let State::Settling(settlement) = &mut self.attempts[message.attempt].state {
                     settlement.record_claim_reply(None);
-                    self.ask(message.attempt);
+                    self.next_action(message.attempt);
                 }
             }
             Body::Bar { ballot, .. } => {
-                self.note("bar without an answer");
-                self.heard(message.attempt, message.agent, &ballot, None);
+                self.count_event("bar without a reply");
+                self.bar_replied(message.attempt, message.agent, &ballot, None);
             }
             Body::Run { .. } => {}
         }
     }
 
-    fn go_on(&mut self, attempt: usize, executor: usize) {
+    fn proceed(&mut self, attempt: usize, executor: usize) {
         if self.attempts.is_empty() {
             return;
         }
-        // The latest attempts are the likeliest to have something to go on with.
+        // The latest attempts are the most likely to have a next step.
         let at = self.attempts.len() - 1 - attempt % self.attempts.len().min(6);
         let entry = self.attempts[at].entry;
         match &mut self.attempts[at].state {
@@ -477,14 +487,14 @@
                     let view = self.view(entry);
                     let State::Settling(settlement) = &mut self.attempts[at].state else { return };
                     settlement.next_round(view);
-                    self.ask(at);
+                    self.next_action(at);
                 }
             }
             State::MayRun(ballot) => {
                 let ballot = ballot.clone();
                 self.order(at, ballot, executor);
             }
-            State::Ordered { .. } | State::ToldNotRun | State::Over => {}
+            State::Ordered { .. } | State::AnsweredNotRun | State::Ended => {}
         }
     }
 
@@ -492,18 +502,18 @@
         let mut agent = self.attempts[attempt].executor;
         let mut reserved = self.attempts[attempt].reservation;
         if ballot != Ballot::Home {
-            // A barred key may run at any one executor of the list; its home never takes it.
+            // After a bar, a key may run at any one executor of the list; its home refuses it.
             let members = &self.lists[self.entries[self.attempts[attempt].entry].list].members;
             agent = members[executor % members.len()];
             reserved = self.reserve(agent);
         }
         let (reservation, incarnation) = reserved;
         let body = Body::Run { ballot, reservation, incarnation };
-        self.net.push(Message { attempt, agent, body, awaited: true });
+        self.in_flight.push(Message { attempt, agent, body, awaited: true });
         self.attempts[attempt].state = State::Ordered { agent, reservation, incarnation };
     }
 
-    fn find_out(&mut self, attempt: usize) {
+    fn check_outcome(&mut self, attempt: usize) {
         if self.attempts.is_empty() {
             return;
         }
@@ -514,23 +524,23 @@
         let key = self.keys[self.attempts[at].key].key.clone();
         let agent = &mut self.agents[agent];
         self.attempts[at].state = match agent.records.run_status(&key) {
-            Some(_) => State::Over,
+            Some(_) => State::Ended,
             None if agent.incarnation == incarnation => {
                 agent.reservations.remove(&reservation);
-                State::ToldNotRun
+                State::AnsweredNotRun
             }
-            None => State::Over,
+            None => State::Ended,
         };
-        self.note("found out");
+        self.count_event("outcome checked");
     }
 
     fn restart_entry(&mut self, entry: usize) {
-        self.next += 1;
-        self.entries[entry].incarnation = self.next;
+        self.next_id += 1;
+        self.entries[entry].incarnation = self.next_id;
         self.entries[entry].learned = self.now;
         for attempt in &mut self.attempts {
-            if attempt.entry == entry && !matches!(attempt.state, State::ToldNotRun) {
-                attempt.state = State::Over;
+            if attempt.entry == entry && !matches!(attempt.state, State::AnsweredNotRun) {
+                attempt.state = State::Ended;
             }
         }
     }
@@ -543,7 +553,7 @@
         }
     }
 
-    fn entry_learns(&mut self, entry: usize, skip: bool) {
+    fn entry_gets_list(&mut self, entry: usize, skip: bool) {
         let held = self.entries[entry].list;
         let next = if skip { self.lists.len() - 1 } else { (held + 1).min(self.lists.len() - 1) };
         if next > held {
@@ -552,7 +562,7 @@
         }
     }
 
-    fn agent_learns(&mut self, agent: usize, list: usize, skipped: bool) {
+    fn agent_gets_list(&mut self, agent: usize, list: usize, skipped: bool) {
         let previous = if skipped || list == 0 { 0 } else { World::revision(list - 1) };
         let list = ServiceList {
             revision: World::revision(list),
@@ -564,7 +574,7 @@
         self.agents[agent].records.set_list(list, now);
     }
 
-    fn ask_peers(&mut self, agent: usize) {
+    fn poll_peers(&mut self, agent: usize) {
         for peer in self.agents[agent].records.pending_acks() {
             let revision = self.agents[World::index(&peer)].records.revision();
             let now = self.agent_now(agent);
@@ -576,7 +586,7 @@
         let agent = &mut self.agents[agent];
         if let Some(key) = agent.running.pop() {
             match whole {
-                // Larger than the bound on answers, so that some are dropped.
+                // Two such answers exceed the size limit, so that some are dropped.
                 true => agent.records.finish(&key, 600),
                 false => agent.records.end(&key, RunStatus::Cancelled),
             }
--- a/crates/bulrushusher_once/tests/model/step.rs
+++ b/crates/bulrushusher_once/tests/model/step.rs
@@ -1,10 +1,10 @@
-//! The steps of the fuzzed world, and how often each is taken.
+//! The steps of the simulation and their relative frequencies.
 
 use proptest::prelude::*;
 
 use super::SKEW;
 
-/// One thing that happens. Numbers are taken modulo what there is.
+/// One event. Indices are taken modulo the number of items.
 #[derive(Clone, Debug)]
 pub enum Step {
     NewKey {
@@ -17,25 +17,25 @@
         key: usize,
         executor: usize,
     },
-    /// A message arrives; its answer comes back, or not.
+    /// A message arrives; its reply arrives too if `answered`.
     Deliver {
         message: usize,
         answered: bool,
     },
-    /// A message's sender stops waiting; the message may still arrive.
-    GiveUp {
+    /// The sender of a message times out; the message may still arrive.
+    Timeout {
         message: usize,
     },
     Drop {
         message: usize,
     },
-    /// A settled attempt orders its run; or a pausing one goes on.
-    GoOn {
+    /// A settled attempt sends its order, or a paused one starts its next round.
+    Proceed {
         attempt: usize,
         executor: usize,
     },
-    /// An attempt without an answer to its order finds out.
-    FindOut {
+    /// An attempt without a reply to its order checks the outcome at the agent.
+    CheckOutcome {
         attempt: usize,
     },
     RestartAgent {
@@ -44,26 +44,26 @@
     RestartEntry {
         entry: usize,
     },
-    /// The members of the list change.
+    /// The endpoint list changes.
     NewList {
         members: usize,
     },
-    EntryLearns {
+    EntryGetsList {
         entry: usize,
         skip: bool,
     },
-    AgentLearns {
+    AgentGetsList {
         agent: usize,
         skip: bool,
     },
-    AskPeers {
+    PollPeers {
         agent: usize,
     },
     Finish {
         agent: usize,
         whole: bool,
     },
-    Pass {
+    Advance {
         ms: u64,
     },
 }
@@ -77,20 +77,20 @@
             .prop_map(|(entry, key, executor)| Step::Start { entry, key, executor }),
         24 => (which.clone(), prop::bool::weighted(0.85))
             .prop_map(|(message, answered)| Step::Deliver { message, answered }),
-        2 => which.clone().prop_map(|message| Step::GiveUp { message }),
+        2 => which.clone().prop_map(|message| Step::Timeout { message }),
         1 => which.clone().prop_map(|message| Step::Drop { message }),
         10 => (which.clone(), which.clone())
-            .prop_map(|(attempt, executor)| Step::GoOn { attempt, executor }),
-        1 => which.clone().prop_map(|attempt| Step::FindOut { attempt }),
+            .prop_map(|(attempt, executor)| Step::Proceed { attempt, executor }),
+        1 => which.clone().prop_map(|attempt| Step::CheckOutcome { attempt }),
         1 => which.clone().prop_map(|agent| Step::RestartAgent { agent }),
         1 => which.clone().prop_map(|entry| Step::RestartEntry { entry }),
         2 => which.clone().prop_map(|members| Step::NewList { members }),
         3 => (which.clone(), any::<bool>())
-            .prop_map(|(entry, skip)| Step::EntryLearns { entry, skip }),
+            .prop_map(|(entry, skip)| Step::EntryGetsList { entry, skip }),
         4 => (which.clone(), any::<bool>())
-            .prop_map(|(agent, skip)| Step::AgentLearns { agent, skip }),
-        3 => which.clone().prop_map(|agent| Step::AskPeers { agent }),
+            .prop_map(|(agent, skip)| Step::AgentGetsList { agent, skip }),
+        3 => which.clone().prop_map(|agent| Step::PollPeers { agent }),
         1 => (which, any::<bool>()).prop_map(|(agent, whole)| Step::Finish { agent, whole }),
-        4 => prop_oneof![4 => 0..120_u64, 1 => 0..3_000_u64].prop_map(|ms| Step::Pass { ms }),
+        4 => prop_oneof![4 => 0..120_u64, 1 => 0..3_000_u64].prop_map(|ms| Step::Advance { ms }),
     ]
 }
--- a/crates/bulrushusher_once/tests/rules.rs
+++ b/crates/bulrushusher_once/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Rules that fuzzing reaches too rarely, each alone.
+//! Tests of single rules that fuzzing exercises too rarely.
 
 use bulrushusher_once::{
     Ballot, BarReply, BarResponse, BarRound, BarVerdict, ClaimReply, HomeBarReply, KeyRecords,
@@ -24,16 +24,16 @@
     Owner { entry: EntryName::try_from("entry-1").unwrap(), incarnation: 1, attempt }
 }
 
-/// A key whose home is `home` among `executors`. It has no time in it: the agents here are old
-/// enough to vouch for it.
+/// A key whose home is `home` among `executors`. It has no embedded time; the records of the agents
+/// here go back far enough to cover it.
 fn key_homed_at(home: &str, executors: &[EndpointName]) -> RequestKey {
     let keys = (0..).map(|n| RequestKey::try_from(format!("order-{n}")).unwrap());
     keys.into_iter().find(|key| home_of(key, executors) == Some(&name(home))).unwrap()
 }
 
-fn records(me: &str, list: &ServiceList) -> KeyRecords {
+fn records(agent: &str, list: &ServiceList) -> KeyRecords {
     let cfg = RecordsConfig { max_keys: 100, max_answer_bytes: 1_000, coverage: COVERAGE };
-    let mut records = KeyRecords::new(name(me), cfg);
+    let mut records = KeyRecords::new(name(agent), cfg);
     records.set_list(list.clone(), Millis(0));
     for peer in records.pending_acks() {
         records.record_ack(&peer, list.revision, Millis(0));
@@ -45,47 +45,47 @@
     ServiceList { revision, executors: names(executors), ..ServiceList::default() }
 }
 
-fn settlement(key: &RequestKey, view: &ServiceList, attempt: u64) -> Settlement {
-    let ask = SettleRequest {
+fn settlement(key: &RequestKey, list: &ServiceList, attempt: u64) -> Settlement {
+    let req = SettleRequest {
         key: key.clone(),
         idempotent: false,
         owner: owner(attempt),
         skew: Millis(10),
     };
     let view = ListView {
-        revision: view.revision,
-        executors: view.executors.clone(),
+        revision: list.revision,
+        executors: list.executors.clone(),
         ..ListView::default()
     };
-    Settlement::bar(ask, view, Ballot::Home)
+    Settlement::bar(req, view, Ballot::Home)
 }
 
-/// Carries out the round that a settlement asks for at these agents.
+/// Carries out the settlement's bar round at these agents.
 fn bar_at(settlement: &mut Settlement, key: &RequestKey, agents: &mut [(&str, &mut KeyRecords)]) {
     let SettleAction::Bar { ballot, revision, .. } = settlement.action() else { panic!("no bar") };
     for (agent, records) in agents {
-        let heard = records.bar(key, &ballot, revision, NOW);
-        settlement.record_bar_reply(&name(agent), &ballot, Some(heard));
+        let response = records.bar(key, &ballot, revision, NOW);
+        settlement.record_bar_reply(&name(agent), &ballot, Some(response));
     }
 }
 
 #[test]
-fn an_entry_with_an_old_list_learns_of_the_new_one_by_a_bar() {
+fn a_bar_reveals_a_later_list_to_an_entry_with_an_old_one() {
     let (old, new) = (list(1, &["a", "b"]), list(2, &["a", "b", "c"]));
     let (mut a, mut b, mut c) = (records("a", &old), records("b", &old), records("c", &new));
     let key = key_homed_at("a", &new.executors);
-    // An entry with the new list bars everywhere, and may run the key at c.
+    // An entry with the new list bars the key at all agents, and may then run it at c.
     let mut first = settlement(&key, &new, 1);
     bar_at(&mut first, &key, &mut [("a", &mut a), ("b", &mut b), ("c", &mut c)]);
     assert!(matches!(first.action(), SettleAction::Done(Settled::Run(_))));
-    // An entry with the old list does not know c; a and b tell that there is a later list.
+    // The old list of the other entry lacks c; the replies of a and b have a later revision.
     let mut second = settlement(&key, &old, 2);
     bar_at(&mut second, &key, &mut [("a", &mut a), ("b", &mut b)]);
     assert_eq!(second.action(), SettleAction::Pause);
 }
 
 #[test]
-fn a_home_does_not_run_the_keys_that_it_homes() {
+fn a_home_does_not_run_its_own_keys() {
     let list = list(1, &["a", "b"]);
     let mut a = records("a", &list);
     let key = key_homed_at("a", &list.executors);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_home_refuses_claims_by_another_list() {
+fn a_home_refuses_claims_made_with_another_list_revision() {
     let list = list(7, &["a", "b"]);
     let mut a = records("a", &list);
     let key = key_homed_at("a", &list.executors);
@@ -105,54 +105,66 @@
 }
 
 #[test]
-fn an_executor_does_not_run_what_it_cannot_vouch_for() {
+fn an_executor_does_not_run_a_key_that_its_records_do_not_cover() {
     let list = list(1, &["a", "b"]);
     let cfg = RecordsConfig {
         max_keys: 100,
         max_answer_bytes: 1_000,
         coverage: RecordCoverage { since: NOW, ..COVERAGE },
     };
-    let mut young = KeyRecords::new(name("b"), cfg);
-    young.set_list(list.clone(), NOW);
+    let mut new_agent = KeyRecords::new(name("b"), cfg);
+    new_agent.set_list(list.clone(), NOW);
     let key = key_homed_at("a", &list.executors);
-    assert_eq!(young.order(&key, true, &Ballot::Home, NOW), OrderReply::InDoubt);
+    assert_eq!(new_agent.order(&key, true, &Ballot::Home, NOW), OrderReply::InDoubt);
 }
 
 fn clean(earlier: Option<Ballot>, revision: u64) -> BarResponse {
     BarResponse { reply: BarReply::Clean { earlier }, home: HomeBarReply::NotGiven, revision }
 }
 
-/// The verdict of a round whose home `a` is unreachable, and where `b` answers.
-fn without_home(heard: BarResponse) -> BarVerdict {
+/// The verdict of a bar round in which the home `a` is unreachable and `b` replies.
+fn verdict_without_home(response: BarResponse) -> BarVerdict {
     let ballot = Ballot::Home.next(&owner(1));
     let mut round = BarRound::new(ballot, 3, names(&["a", "b"]), Some(name("a")));
     round.record_unreachable(&name("a"));
-    round.record_reply(&name("b"), heard);
+    round.record_reply(&name("b"), response);
     round.verdict().unwrap()
 }
 
 #[test]
-fn an_unreachable_home_is_passed_over_only_without_any_hint() {
-    assert_eq!(without_home(clean(None, 3)), BarVerdict::Clear);
+fn an_unreachable_home_is_skipped_only_if_no_conflict_is_possible() {
+    assert_eq!(verdict_without_home(clean(None, 3)), BarVerdict::Clear);
     let earlier = Some(Ballot::Home.next(&owner(9)));
-    assert_eq!(without_home(clean(earlier, 3)), BarVerdict::Unknown, "another attempt was here");
-    assert_eq!(without_home(clean(None, 2)), BarVerdict::Unknown, "another list was in force");
+    assert_eq!(
+        verdict_without_home(clean(earlier, 3)),
+        BarVerdict::Unknown,
+        "another attempt barred it"
+    );
+    assert_eq!(
+        verdict_without_home(clean(None, 2)),
+        BarVerdict::Unknown,
+        "another list was in use"
+    );
     let given = BarResponse { home: HomeBarReply::Given(name("a")), ..clean(None, 3) };
-    assert_eq!(without_home(given), BarVerdict::Unknown, "it was given to the lost endpoint");
+    assert_eq!(
+        verdict_without_home(given),
+        BarVerdict::Unknown,
+        "it was assigned to the lost endpoint"
+    );
 }
 
 #[test]
-fn what_ran_and_cannot_be_had_is_told_so() {
+fn a_run_whose_answer_was_dropped_is_reported() {
     let list = list(1, &["a", "b"]);
     let (mut a, mut b) = (records("a", &list), records("b", &list));
     let key = key_homed_at("a", &list.executors);
     assert_eq!(b.order(&key, true, &Ballot::Home, NOW), OrderReply::Run);
     b.finish(&key, 2_000);
-    assert_eq!(b.take_dropped(), vec![key.clone()], "larger than the bound on answers");
+    assert_eq!(b.take_dropped(), vec![key.clone()], "larger than the limit on answers");
     let mut again = settlement(&key, &list, 1);
     bar_at(&mut again, &key, &mut [("a", &mut a), ("b", &mut b)]);
-    let told = SettleFailure::RanWithoutAnswer(RunStatus::AnswerGone);
-    assert_eq!(again.action(), SettleAction::Done(Settled::Failed(told)));
+    let failure = SettleFailure::RanWithoutAnswer(RunStatus::AnswerGone);
+    assert_eq!(again.action(), SettleAction::Done(Settled::Failed(failure)));
 }
 
 #[test]
