--- a/crates/bulrushusher_routing/benches/choose.rs
+++ b/crates/bulrushusher_routing/benches/choose.rs
@@ -1,4 +1,4 @@
-//! Cost of one placement over the number of runners: `cargo bench -p bulrushusher_routing`.
+//! Time to choose a pair of runners, by number of runners: `cargo bench -p bulrushusher_routing`.
 
 use std::hint::black_box;
 
--- a/crates/bulrushusher_routing/src/lib.rs
+++ b/crates/bulrushusher_routing/src/lib.rs
@@ -1,9 +1,9 @@
-//! An entry's decisions: which runners, when to refuse early, limits, retry budgets, and which requests
-//! are kept from runners. Gateways share the last two.
+//! Routing decisions of an entry: which runners serve a request, retry budgets, and the quarantine
+//! of requests that crash runners. Gateways use the last two as well.
 //!
-//! Nothing here does I/O or reads a clock; randomness is seeded from outside. An entry feeds a
-//! [`PairingTable`] with the endpoints in force and what it hears of their load, and asks it for a
-//! pair of runners per request.
+//! Nothing here does I/O or reads a clock; the random generator is seeded by the caller. An entry
+//! updates a [`PairingTable`] with the configured endpoints and their load reports, and chooses a
+//! pair of runners for each request from it.
 
 mod digest;
 mod load;
@@ -20,7 +20,9 @@
 };
 pub use policy::Policy;
 pub use prefix::{PrefixConfig, PrefixIndex};
-pub use quarantine::{CrashUpdate, Quarantine, QuarantineConfig, Quarantined, Suspect, CrashVerdict};
+pub use quarantine::{
+    CrashUpdate, CrashVerdict, Quarantine, QuarantineConfig, Quarantined, Suspect,
+};
 pub use retry::{RetryBudget, RetryConfig};
 
 /// The common types in one `use`.
--- a/crates/bulrushusher_routing/src/pairing.rs
+++ b/crates/bulrushusher_routing/src/pairing.rs
@@ -1,4 +1,4 @@
-//! Which runners a request goes to.
+//! Choice of the runners that serve a request.
 
 use std::collections::HashMap;
 
@@ -15,18 +15,18 @@
 pub struct PairingConfig {
     /// The policy.
     pub policy: Policy,
-    /// Runners looked at per choice.
+    /// Number of randomly sampled runners that are compared per choice.
     pub choices: usize,
-    /// Half-life of what was heard of a runner's load.
+    /// Half-life of a load report, by which its weight decays with age.
     pub hint_half_life: Millis,
-    /// A runner with the prefix cached is taken while its load is at most this much above the best
-    /// other choice, in requests per place.
+    /// A runner with the prefix cached is preferred while its load exceeds that of the least loaded
+    /// candidate by at most this much, in requests per place.
     pub affinity_slack: f64,
-    /// Fewest cached blocks for which a runner is preferred.
+    /// Minimum number of cached blocks for which a runner is preferred.
     pub affinity_min_blocks: usize,
-    /// Bounds of the prefix index.
+    /// Limits of the prefix index.
     pub prefix: PrefixConfig,
-    /// Seed of the choices.
+    /// Seed of the random sampling.
     pub seed: u64,
 }
 
@@ -47,11 +47,11 @@
 /// A prompt to place.
 #[derive(Clone, Debug)]
 pub struct PromptRequest<'a> {
-    /// The service, which is the model's pool.
+    /// The service, that is, the pool of the model.
     pub service: &'a ServiceName,
-    /// Chained hashes of the prompt's whole blocks.
+    /// Chained hashes of the prompt's complete blocks.
     pub blocks: &'a [u64],
-    /// Endpoints that must not be chosen: the key's home, and those that just refused.
+    /// Endpoints that must not be chosen: the key's home, and those that have just refused.
     pub excluded: &'a [EndpointName],
 }
 
@@ -64,35 +64,36 @@
     pub excluded: &'a [EndpointName],
 }
 
-/// A runner chosen.
+/// A chosen runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chosen {
     /// The runner.
     pub endpoint: Endpoint,
-    /// Where the table holds it; for [`PairingTable::record_sent`] and [`PairingTable::record_done`].
+    /// The runner's index in the table, for [`PairingTable::record_sent`] and
+    /// [`PairingTable::record_done`].
     pub slot: usize,
 }
 
-/// A pair of runners.
+/// The two runners that serve a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pairing {
-    /// Computes the prompt.
+    /// The runner that computes the prompt.
     pub prefill: Chosen,
-    /// Generates the tokens.
+    /// The runner that generates the tokens.
     pub decode: Chosen,
 }
 
-/// Why no runner was chosen. Nothing was run.
+/// Why no runner was chosen. The request was not run.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum NotPlaced {
-    /// The service has no endpoint at all.
+    /// The service has no endpoint of that role.
     #[display("service {service} has no endpoint; configure one, the request was not run")]
     UnknownService {
         /// The service.
         service: ServiceName,
     },
     /// Every endpoint of that role is leaving or excluded.
-    #[display("no {role} endpoint of {service} takes work now; come back, the request was not run")]
+    #[display("no {role} endpoint of {service} is available; retry later, the request was not run")]
     NoneAvailable {
         /// The service.
         service: ServiceName,
@@ -109,7 +110,7 @@
     last_sent: Millis,
 }
 
-/// The endpoints in force, what is believed of their load, and the choice among them.
+/// The configured endpoints with their load estimates, from which runners are chosen.
 ///
 /// ```
 /// use bulrushusher_routing::{PairingConfig, PairingTable, ServiceRequest};
@@ -132,7 +133,7 @@
     slots: Vec<Slot>,
     by_name: HashMap<EndpointName, usize>,
     pools: HashMap<(ServiceName, Role), Vec<usize>>,
-    turns: HashMap<(ServiceName, Role), usize>,
+    round_robin_turns: HashMap<(ServiceName, Role), usize>,
     prefixes: PrefixIndex,
     rng: ChaCha8Rng,
 }
@@ -145,22 +146,22 @@
             slots: Vec::new(),
             by_name: HashMap::new(),
             pools: HashMap::new(),
-            turns: HashMap::new(),
+            round_robin_turns: HashMap::new(),
             prefixes: PrefixIndex::new(cfg.prefix),
             rng: ChaCha8Rng::seed_from_u64(cfg.seed),
         }
     }
 
-    /// The endpoints in force. What is known of the load of those that stay is kept.
+    /// Replaces the configured endpoints. Endpoints that stay keep their load hints.
     pub fn set_endpoints(&mut self, endpoints: Vec<Endpoint>) {
         for slot in &mut self.slots {
             slot.listed = false;
         }
         for endpoint in endpoints {
             match self.by_name.get(&endpoint.name) {
-                Some(at) => {
-                    self.slots[*at].endpoint = endpoint;
-                    self.slots[*at].listed = true;
+                Some(slot) => {
+                    self.slots[*slot].endpoint = endpoint;
+                    self.slots[*slot].listed = true;
                 }
                 None => {
                     self.by_name.insert(endpoint.name.clone(), self.slots.len());
@@ -173,22 +174,22 @@
         self.rebuild_pools();
     }
 
-    /// True when the service has any endpoint of that role, leaving or not.
+    /// True if the service has an endpoint of that role, leaving or not.
     pub fn has_endpoint(&self, service: &ServiceName, role: Role) -> bool {
-        let of = |slot: &Slot| slot.endpoint.service == *service && slot.endpoint.role == role;
-        self.slots.iter().any(|slot| slot.listed && of(slot))
+        let matches = |slot: &Slot| slot.endpoint.service == *service && slot.endpoint.role == role;
+        self.slots.iter().any(|slot| slot.listed && matches(slot))
     }
 
-    /// Every endpoint listed, with its load hint.
+    /// Every configured endpoint, with its load hint.
     pub fn endpoints(&self) -> impl Iterator<Item = (&Endpoint, &LoadHint)> {
         let listed = self.slots.iter().filter(|slot| slot.listed);
         listed.map(|slot| (&slot.endpoint, &slot.hint))
     }
 
-    /// Places a prompt.
+    /// Chooses both runners for a prompt.
     ///
     /// # Errors
-    /// [`NotPlaced`] when a pool is missing or takes no work.
+    /// [`NotPlaced`] if a pool has no endpoint, or none that may be chosen.
     pub fn choose(&mut self, req: &PromptRequest, now: Millis) -> Result<Pairing, NotPlaced> {
         let prefill = self.choose_prefill(req, now)?;
         let decode = self.choose_decode(req, now)?;
@@ -221,7 +222,7 @@
         Ok(self.chosen(at))
     }
 
-    /// Places a plain service call.
+    /// Chooses the runner for a plain service call.
     ///
     /// # Errors
     /// As [`PairingTable::choose`].
@@ -234,28 +235,34 @@
         Ok(self.chosen(at))
     }
 
-    /// A runner told its load; `hint.own_in_flight` and `hint.own_since_report` are ignored.
+    /// Stores a runner's load report. The fields `own_in_flight`, `own_since_report` and
+    /// `engine_load` of `hint` are ignored.
     pub fn update_load(&mut self, endpoint: &EndpointName, hint: LoadHint) {
         let Some(at) = self.by_name.get(endpoint) else { return };
-        let held = &mut self.slots[*at].hint;
-        *held = LoadHint { own_in_flight: held.own_in_flight, own_since_report: 0, engine_load: held.engine_load, ..hint };
+        let stored = &mut self.slots[*at].hint;
+        *stored = LoadHint {
+            own_in_flight: stored.own_in_flight,
+            own_since_report: 0,
+            engine_load: stored.engine_load,
+            ..hint
+        };
     }
 
-    /// A runner told what its engine reports.
+    /// Stores the load by the metrics of a runner's engine: running and waiting requests.
     pub fn update_engine_load(&mut self, endpoint: &EndpointName, engine_load: u32) {
         if let Some(at) = self.by_name.get(endpoint) {
             self.slots[*at].hint.engine_load = engine_load;
         }
     }
 
-    /// True when a request was sent to the runner lately, or is there now.
+    /// True if a request was sent to the runner in the last 10 s, or is in flight there.
     pub fn recently_used(&self, endpoint: &EndpointName, now: Millis) -> bool {
-        const LATELY: Millis = Millis(10_000);
+        const RECENT: Millis = Millis(10_000);
         let slot = self.by_name.get(endpoint).map(|at| &self.slots[*at]);
-        slot.is_some_and(|slot| slot.hint.own_in_flight > 0 || now.since(slot.last_sent) < LATELY)
+        slot.is_some_and(|slot| slot.hint.own_in_flight > 0 || now.since(slot.last_sent) < RECENT)
     }
 
-    /// A request was sent to a chosen runner.
+    /// Records that a request was sent to a chosen runner.
     pub fn record_sent(&mut self, chosen: &Chosen, now: Millis) {
         self.slots[chosen.slot].last_sent = now;
         let hint = &mut self.slots[chosen.slot].hint;
@@ -263,14 +270,14 @@
         hint.own_since_report += 1;
     }
 
-    /// A request sent to a chosen runner is over there.
+    /// Records that a request sent to a chosen runner has ended there.
     pub fn record_done(&mut self, chosen: &Chosen) {
         let hint = &mut self.slots[chosen.slot].hint;
         hint.own_in_flight = hint.own_in_flight.saturating_sub(1);
         hint.own_since_report = hint.own_since_report.saturating_sub(1);
     }
 
-    /// A runner computed a prompt's blocks.
+    /// Records that a runner computed a prompt's blocks, which are now in its prefix cache.
     pub fn record_prefill(&mut self, chosen: &Chosen, blocks: &[u64]) {
         self.prefixes.insert(blocks, chosen.slot);
     }
@@ -309,7 +316,7 @@
         }
         let picked = match self.cfg.policy {
             Policy::RoundRobin => {
-                let turn = self.turns.entry(key).or_default();
+                let turn = self.round_robin_turns.entry(key).or_default();
                 let order = (0..pool.len()).map(|step| pool[(*turn + step) % pool.len()]);
                 let picked = order.into_iter().find(allowed);
                 *turn += 1;
@@ -322,7 +329,7 @@
             Policy::PrefillFirst | Policy::Paired => {
                 let utilization =
                     |at: usize| self.slots[at].hint.utilization(now, self.cfg.hint_half_life);
-                few_choices(pool, self.cfg.choices, &mut self.rng)
+                sample_pool(pool, self.cfg.choices, &mut self.rng)
                     .filter(allowed)
                     .map(|at| (utilization(at), at))
                     .min_by(|a, b| a.0.total_cmp(&b.0))
@@ -333,7 +340,8 @@
         picked.ok_or(none)
     }
 
-    /// The runner with the prompt's prefix cached, unless it is loaded too far beyond `best`.
+    /// The runner that has the prompt's prefix cached, unless its load exceeds that of `best` by
+    /// more than [`PairingConfig::affinity_slack`].
     fn with_affinity(&self, req: &PromptRequest, best: usize, now: Millis) -> usize {
         let Some((at, length)) = self.prefixes.find(req.blocks) else { return best };
         let slot = &self.slots[at];
@@ -351,9 +359,9 @@
     }
 }
 
-/// A few members of a pool: all when there are no more than `choices`, else a random run of
-/// distinct ones starting anywhere, with a random stride.
-fn few_choices(
+/// Up to `choices` distinct members of a pool, visited from a random start with a random stride. A
+/// stride that shares a factor with the length of the pool may yield fewer.
+fn sample_pool(
     pool: &[usize],
     choices: usize,
     rng: &mut ChaCha8Rng,
--- a/crates/bulrushusher_routing/src/policy.rs
+++ b/crates/bulrushusher_routing/src/policy.rs
@@ -1,28 +1,30 @@
-//! How runners are chosen, and whether decode memory is reserved before the prefill.
+//! Policies for choosing runners and for the order of decode reservation and prefill.
 
 use derive_more::Display;
 
-/// A way to choose runners. All but [`Policy::Paired`] are baselines to compare with.
+/// How runners are chosen. All but [`Policy::Paired`] are baselines for comparison.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, Hash)]
 pub enum Policy {
-    /// Each runner in turn; decode memory is asked for after the prefill.
+    /// Each runner in turn; decode memory is reserved after the prefill.
     #[display("round-robin")]
     RoundRobin,
-    /// The runner with the least load that its engine reports; decode memory after the prefill.
+    /// The runner with the least load by its engine's metrics; decode memory is reserved after the
+    /// prefill.
     #[display("least-loaded")]
     LeastLoaded,
-    /// Chosen as `paired` does, but decode memory is asked for after the prefill.
+    /// Chooses as [`Policy::Paired`] does, but decode memory is reserved after the prefill.
     #[display("prefill-first")]
     PrefillFirst,
-    /// Few choices by the freshest hints, and decode memory held before the prefill starts.
+    /// The least loaded of a few sampled runners by load hints; decode memory is reserved before
+    /// the prefill starts.
     #[default]
     #[display("paired")]
     Paired,
 }
 
-/// The text names no policy.
+/// The text is not the name of a policy.
 #[derive(Clone, Debug, Display, derive_more::Error, PartialEq, Eq)]
-#[display("`{given}` is no policy; give round-robin, least-loaded, prefill-first or paired")]
+#[display("`{given}` is not a policy; give round-robin, least-loaded, prefill-first or paired")]
 pub struct UnknownPolicy {
     given: String,
 }
@@ -32,7 +34,7 @@
     pub const ALL: [Policy; 4] =
         [Policy::RoundRobin, Policy::LeastLoaded, Policy::PrefillFirst, Policy::Paired];
 
-    /// True when decode memory is held before the prefill starts.
+    /// True if decode memory is reserved before the prefill starts.
     pub fn reserves_decode_first(self) -> bool {
         match self {
             Policy::Paired => true,
