--- a/crates/bulrushusher_routing/src/digest.rs
+++ b/crates/bulrushusher_routing/src/digest.rs
@@ -1,14 +1,15 @@
-//! What makes a request the same when it is sent again.
+//! The digest that identifies a request when it is sent again.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// What a caller asks for, whatever identity its attempt has: a request that is sent again has the
-/// same digest, at any gateway and after any restart.
+/// A digest of a request's content, independent of the identity of the attempt: a request that is
+/// sent again has the same digest, at any gateway and after any restart.
 ///
-/// It has 64 bits: with a hundred digests looked for among 240 million requests a day, one request in
-/// some hundred million days is taken for another. Written as text of 16 hexadecimal digits.
+/// 64 bits suffice: when 240 million requests a day are compared with a hundred digests, one
+/// request in some hundred million days is mistaken for another. The text form has 16 hexadecimal
+/// digits.
 ///
 /// ```
 /// use bulrushusher_routing::RequestDigest;
@@ -34,11 +35,11 @@
 #[serde(try_from = "String", into = "String")]
 pub struct RequestDigest(u64);
 
-/// A text that is no digest.
+/// A text that is not a request digest.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("`{text}` is no digest of a request; give 16 hexadecimal digits")]
+#[display("`{text}` is not a request digest; give 16 hexadecimal digits")]
 pub struct DigestError {
-    /// What was given.
+    /// The invalid text.
     #[error(not(source))]
     pub text: String,
 }
@@ -61,11 +62,11 @@
 }
 
 impl RequestDigest {
-    /// The digest of a request's parts, in this order.
+    /// The digest of a request's parts; their order and boundaries count.
     pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> RequestDigest {
         let mut hash = Xxh3Default::new();
         for part in parts {
-            // With its length, so that no byte can go from one part to the next unnoticed.
+            // The length prefix makes the boundaries between the parts count.
             hash.update(&(part.len() as u64).to_le_bytes());
             hash.update(part);
         }
--- a/crates/bulrushusher_routing/src/prefix.rs
+++ b/crates/bulrushusher_routing/src/prefix.rs
@@ -1,11 +1,11 @@
-//! Which runner is likely to have a prompt's prefix cached. Only a hint, and bounded.
+//! A bounded index of the runners that are likely to have a prompt's prefix cached. Only a hint.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Bounds of the index.
+/// Limits of the index.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefixConfig {
-    /// Blocks remembered; the oldest go first.
+    /// Maximum number of indexed blocks; the oldest are evicted first.
     pub max_blocks: usize,
 }
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// Remembers which runner computed a block last.
+/// Maps each block to the runner that computed it last.
 ///
 /// ```
 /// use bulrushusher_routing::{PrefixConfig, PrefixIndex};
@@ -37,14 +37,14 @@
         PrefixIndex { cfg, runners: HashMap::new(), order: VecDeque::new() }
     }
 
-    /// The runner that computed the longest known prefix of `blocks`, and its length in blocks.
-    /// Blocks are chained hashes: each covers all before it.
+    /// The runner that computed the longest indexed prefix of `blocks`, and the length of that
+    /// prefix in blocks. Blocks are chained hashes: each covers all blocks before it.
     pub fn find(&self, blocks: &[u64]) -> Option<(usize, usize)> {
         let known = blocks.iter().rposition(|block| self.runners.contains_key(block))?;
         Some((self.runners[&blocks[known]], known + 1))
     }
 
-    /// `runner` computed `blocks`.
+    /// Records that `runner` computed `blocks`.
     pub fn insert(&mut self, blocks: &[u64], runner: usize) {
         for block in blocks {
             if self.runners.insert(*block, runner).is_none() {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Forgets everything, as the numbering of the runners changed.
+    /// Removes all blocks; needed when the numbering of the runners changes.
     pub fn clear(&mut self) {
         self.runners.clear();
         self.order.clear();
--- a/crates/bulrushusher_routing/src/retry.rs
+++ b/crates/bulrushusher_routing/src/retry.rs
@@ -1,11 +1,11 @@
-//! A budget for retries, so that a failing pool is not loaded further by repeats.
+//! A retry budget, so that retries do not add load to a pool that is failing.
 
-/// Bounds of a retry budget.
+/// Limits of a retry budget.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryConfig {
-    /// Retries earned by each first attempt.
+    /// Retries earned by each first attempt, usually a fraction.
     pub per_request: f64,
-    /// Retries that may be saved up.
+    /// Maximum number of retries saved up.
     pub max_saved: f64,
 }
 
@@ -16,24 +16,24 @@
 }
 
 impl RetryConfig {
-    /// What each of `sharers` processes may save up, so that they stay within the whole when all
-    /// spend it at once. Each may save up one repeat at least, if the whole allows any, or it could
-    /// never make one.
+    /// The share of each of `processes`, so that all together stay within the total budget when
+    /// they spend their savings at once. Each may save up at least one retry if the total allows
+    /// any; otherwise it could never retry.
     ///
     /// ```
     /// use bulrushusher_routing::RetryConfig;
-    /// let whole = RetryConfig { per_request: 0.2, max_saved: 54.0 };
-    /// assert_eq!(whole.split(27).max_saved, 2.0);
-    /// assert_eq!(whole.split(27).per_request, 0.2, "each earns by its own requests");
+    /// let total = RetryConfig { per_request: 0.2, max_saved: 54.0 };
+    /// assert_eq!(total.split(27).max_saved, 2.0);
+    /// assert_eq!(total.split(27).per_request, 0.2, "each earns by its own requests");
     /// ```
     #[must_use]
-    pub fn split(self, sharers: usize) -> RetryConfig {
-        let part = self.max_saved / sharers.max(1) as f64;
-        RetryConfig { max_saved: part.max(self.max_saved.min(1.0)), ..self }
+    pub fn split(self, processes: usize) -> RetryConfig {
+        let share = self.max_saved / processes.max(1) as f64;
+        RetryConfig { max_saved: share.max(self.max_saved.min(1.0)), ..self }
     }
 }
 
-/// Retries that may still be made.
+/// The retries still allowed, as a token bucket filled by first attempts.
 ///
 /// ```
 /// use bulrushusher_routing::{RetryBudget, RetryConfig};
@@ -56,18 +56,18 @@
         RetryBudget { cfg, saved: cfg.max_saved }
     }
 
-    /// Takes other bounds; what was saved beyond them is lost.
+    /// Replaces the limits; savings above the new maximum are discarded.
     pub fn reconfigure(&mut self, cfg: RetryConfig) {
         self.cfg = cfg;
         self.saved = self.saved.min(cfg.max_saved);
     }
 
-    /// A first attempt was made.
+    /// Records a first attempt.
     pub fn earn(&mut self) {
         self.saved = (self.saved + self.cfg.per_request).min(self.cfg.max_saved);
     }
 
-    /// Takes one retry; false when none is left.
+    /// Takes one retry; returns false if none is left.
     pub fn take(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
