--- a/crates/bulrushusher_routing/tests/quarantine.rs
+++ b/crates/bulrushusher_routing/tests/quarantine.rs
@@ -1,19 +1,19 @@
-//! Gateways that tell each other, over links that lose and repeat, of requests that end runners.
+//! Gateways that exchange crash updates over links that lose and duplicate datagrams.
 //!
-//! The oracle knows which request crashes its runners; the gateways see only that a runner ended, and
-//! which requests it had just begun.
+//! The oracle knows which request crashes its runners; the gateways see only that a runner ended,
+//! and which requests it had just started.
 
 use bulrushusher_routing::{
-    CrashUpdate, Quarantine, QuarantineConfig, Quarantined, RequestDigest, Suspect, CrashVerdict,
+    CrashUpdate, CrashVerdict, Quarantine, QuarantineConfig, Quarantined, RequestDigest, Suspect,
 };
 use bulrushusher_time::Millis;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// Gateways that are played.
+/// Number of simulated gateways.
 const GATEWAYS: usize = 5;
 
-/// Requests that are played: the first one crashes each runner, the others none.
+/// Number of simulated requests. The first one crashes every runner, the others none.
 const REQUESTS: usize = 4;
 
 /// Time between two steps.
@@ -25,15 +25,16 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// The crashing request comes; `beside` has just begun at the same runner, at another gateway.
+    /// The crashing request arrives. `beside`: another gateway with its request that has just
+    /// started at the same runner.
     Crash { gateway: usize, beside: Option<(usize, usize)>, lost: Vec<bool> },
     /// Another request is answered.
     Answer { gateway: usize, request: usize },
-    /// Many runners end at once, each with a run of the same request.
+    /// Many runners end at once, each while it runs the same request.
     EndTogether { request: usize },
-    /// A gateway starts again and reads the store.
+    /// A gateway restarts and reads the store.
     Restart { gateway: usize },
-    /// All start again.
+    /// All gateways restart.
     RestartAll,
 }
 
@@ -52,76 +53,76 @@
     ]
 }
 
-/// Gateways, what the store holds, and what has happened.
+/// The gateways, the content of the store, and counts of events.
 struct Fleet {
     gateways: Vec<Quarantine>,
     store: Vec<Quarantined>,
     now: Millis,
-    /// Runners that the crashing request has ended.
-    ended: usize,
-    /// Crashes at a gateway that had not heard what another one knew, or started again since; and times
-    /// that all started again.
-    unheard: usize,
+    /// Runners that the crashing request has crashed.
+    crashed: usize,
+    /// Crashes at a gateway that lacked information of another one, plus restarts of all gateways.
+    uninformed: usize,
 }
 
 impl Fleet {
     fn new() -> Fleet {
         let gateways = vec![Quarantine::new(QuarantineConfig::default()); GATEWAYS];
-        Fleet { gateways, store: Vec::new(), now: Millis(1_000_000), ended: 0, unheard: 0 }
+        Fleet { gateways, store: Vec::new(), now: Millis(1_000_000), crashed: 0, uninformed: 0 }
     }
 
-    /// A runner ends on a request; peers hear of it but for those whose datagrams are lost.
+    /// A runner ends while it runs a request; peers are informed unless their datagram is lost.
     fn crash(&mut self, gateway: usize, request: usize, before: u32, lost: &[bool]) {
         let now = self.now;
         let verdict = self.gateways[gateway].record_crash(digest(request), before, now);
-        let mut news = CrashUpdate::default();
+        let mut update = CrashUpdate::default();
         match verdict {
             CrashVerdict::Known => {}
             CrashVerdict::Suspected { crashes } => {
-                news.suspects.push(Suspect { digest: digest(request), crashes });
+                update.suspects.push(Suspect { digest: digest(request), crashes });
             }
             CrashVerdict::Quarantined => {
-                let held = Quarantined { digest: digest(request), since: now };
-                news.quarantined.push(held);
-                self.store.push(held);
+                let entry = Quarantined { digest: digest(request), since: now };
+                update.quarantined.push(entry);
+                self.store.push(entry);
             }
         }
-        self.tell(gateway, &news, lost);
+        self.broadcast(gateway, &update, lost);
     }
 
-    fn tell(&mut self, from: usize, news: &CrashUpdate, lost: &[bool]) {
+    fn broadcast(&mut self, from: usize, update: &CrashUpdate, lost: &[bool]) {
         for to in (0..GATEWAYS).filter(|to| *to != from) {
             if lost.get(to).copied().unwrap_or(false) {
                 continue;
             }
-            let beyond = self.gateways[to].apply_update(news, self.now);
-            // What comes twice changes nothing.
-            self.gateways[to].apply_update(news, self.now);
-            self.gateways[from].apply_update(&beyond, self.now);
+            let missing = self.gateways[to].apply_update(update, self.now);
+            // A duplicate must change nothing.
+            self.gateways[to].apply_update(update, self.now);
+            self.gateways[from].apply_update(&missing, self.now);
         }
     }
 
     fn restart(&mut self, gateway: usize) {
-        let mut fresh = Quarantine::new(QuarantineConfig::default());
-        for held in &self.store {
-            fresh.insert(*held, self.now);
+        let mut restarted = Quarantine::new(QuarantineConfig::default());
+        for entry in &self.store {
+            restarted.insert(*entry, self.now);
         }
-        self.gateways[gateway] = fresh;
+        self.gateways[gateway] = restarted;
     }
 
-    fn play(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         self.now = self.now.plus(STEP);
         match step {
             Step::Crash { gateway, beside, lost } => {
                 if self.gateways[*gateway].remaining(digest(0), self.now).is_some() {
                     return;
                 }
-                self.ended += 1;
+                self.crashed += 1;
                 let before = self.gateways[*gateway].crash_count(digest(0));
                 let knows_more = |it: &Quarantine| {
-                    it.remaining(digest(0), self.now).is_some() || it.crash_count(digest(0)) > before
+                    it.remaining(digest(0), self.now).is_some()
+                        || it.crash_count(digest(0)) > before
                 };
-                self.unheard += usize::from(self.gateways.iter().any(knows_more));
+                self.uninformed += usize::from(self.gateways.iter().any(knows_more));
                 self.crash(*gateway, 0, before, lost);
                 if let Some((other, request)) = beside {
                     let before = self.gateways[*other].crash_count(digest(*request));
@@ -131,8 +132,8 @@
             Step::Answer { gateway, request } => {
                 if self.gateways[*gateway].record_answer(digest(*request)) {
                     let cleared = vec![digest(*request)];
-                    let news = CrashUpdate { cleared, ..CrashUpdate::default() };
-                    self.tell(*gateway, &news, &[]);
+                    let update = CrashUpdate { cleared, ..CrashUpdate::default() };
+                    self.broadcast(*gateway, &update, &[]);
                 }
             }
             Step::EndTogether { request } => {
@@ -144,7 +145,7 @@
             }
             Step::Restart { gateway } => self.restart(*gateway),
             Step::RestartAll => {
-                self.unheard += 1;
+                self.uninformed += 1;
                 (0..GATEWAYS).for_each(|gateway| self.restart(gateway));
             }
         }
@@ -163,39 +164,39 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Each crash that somebody still remembers brings the next one nearer to the last: whatever is
-    /// lost or starts again, a crash more is the most that it costs.
+    /// A crash that any gateway still has on record counts towards the threshold. Each crash at an
+    /// uninformed gateway and each restart therefore costs at most one runner more.
     #[test]
-    fn a_request_ends_no_more_runners_than_it_takes_to_be_sure(
+    fn a_request_crashes_few_runners_beyond_the_threshold(
         steps in prop::collection::vec(step(), 1..60),
     ) {
         let mut fleet = Fleet::new();
-        steps.iter().for_each(|step| fleet.play(step));
-        let enough = QuarantineConfig::default().crash_threshold as usize;
+        steps.iter().for_each(|step| fleet.apply(step));
+        let threshold = QuarantineConfig::default().crash_threshold as usize;
         let restarts = steps.iter().filter(|it| matches!(it, Step::Restart { .. })).count();
         prop_assert!(
-            fleet.ended <= enough + fleet.unheard + restarts,
-            "{} ended, {} unheard", fleet.ended, fleet.unheard
+            fleet.crashed <= threshold + fleet.uninformed + restarts,
+            "{} crashed, {} uninformed", fleet.crashed, fleet.uninformed
         );
     }
 
-    /// Once it is in quarantine and everybody has heard, nobody runs it.
+    /// Once all gateways know that a request is in quarantine, none runs it.
     #[test]
-    fn what_is_in_quarantine_runs_nowhere(gateways in prop::collection::vec(0..GATEWAYS, 2..30)) {
+    fn a_quarantined_request_runs_nowhere(gateways in prop::collection::vec(0..GATEWAYS, 2..30)) {
         let mut fleet = Fleet::new();
         for gateway in gateways {
-            fleet.play(&Step::Crash { gateway, beside: None, lost: Vec::new() });
+            fleet.apply(&Step::Crash { gateway, beside: None, lost: Vec::new() });
         }
-        prop_assert_eq!(fleet.ended, QuarantineConfig::default().crash_threshold as usize);
+        prop_assert_eq!(fleet.crashed, QuarantineConfig::default().crash_threshold as usize);
     }
 
-    /// Runners that end together say nothing of what they ran, however many they are.
+    /// Runners that end together are no evidence against the request that they ran, however many.
     #[test]
     fn runners_that_end_together_put_nothing_into_quarantine(times in 1_usize..20) {
         let mut fleet = Fleet::new();
         for _ in 0..times {
-            fleet.play(&Step::EndTogether { request: 1 });
-            fleet.play(&Step::Answer { gateway: 3, request: 1 });
+            fleet.apply(&Step::EndTogether { request: 1 });
+            fleet.apply(&Step::Answer { gateway: 3, request: 1 });
         }
         let now = fleet.now;
         prop_assert!(fleet.gateways.iter().all(|it| it.remaining(digest(1), now).is_none()));
@@ -214,7 +215,7 @@
 }
 
 #[test]
-fn crashes_long_ago_are_forgotten_and_a_quarantine_ends() {
+fn suspects_and_quarantines_expire() {
     let cfg = QuarantineConfig::default();
     let mut quarantine = Quarantine::new(cfg);
     let crash = |quarantine: &mut Quarantine, now| {
@@ -227,14 +228,14 @@
     let over = Millis(10).plus(cfg.duration);
     assert_eq!(quarantine.remaining(digest(1), over), None);
     assert_eq!(crash(&mut quarantine, over), CrashVerdict::Suspected { crashes: 1 });
-    // Another request's crash is the occasion at which old ones are forgotten.
+    // Expired suspects are removed when another request crashes a runner.
     let later = over.plus(cfg.suspect_ttl);
     quarantine.record_crash(digest(2), 0, later);
     assert_eq!(quarantine.crash_count(digest(1)), 0);
 }
 
 #[test]
-fn as_many_requests_are_remembered_as_are_allowed_and_no_more() {
+fn suspects_and_quarantined_requests_are_bounded() {
     let cfg = QuarantineConfig { max_entries: 8, ..QuarantineConfig::default() };
     let mut quarantine = Quarantine::new(cfg);
     for request in 0..100 {
@@ -245,11 +246,11 @@
     }
     assert_eq!(quarantine.entries(Millis(100)).len(), 8);
     let known = (100..200).filter(|request| quarantine.crash_count(digest(*request)) > 0).count();
-    assert_eq!(known, 8, "the last ones");
+    assert_eq!(known, 8, "the latest suspects");
 }
 
 #[test]
-fn a_quarantine_of_a_gateway_whose_clock_is_ahead_lasts_no_longer() {
+fn a_quarantine_by_a_gateway_whose_clock_is_ahead_lasts_no_longer() {
     let cfg = QuarantineConfig::default();
     let mut quarantine = Quarantine::new(cfg);
     let ahead = Quarantined { digest: digest(1), since: Millis(9_000_000) };
