--- a/crates/bulrushusher_entry/src/execution.rs
+++ b/crates/bulrushusher_entry/src/execution.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use bulrushusher_once::{Ballot, Ran, Settled};
+use bulrushusher_once::{Ballot, RunStatus, Settled};
 use bulrushusher_routing::RequestDigest;
 use bulrushusher_time::Millis;
 use bulrushusher_wire::{ApiError, ErrorCode, OrderRejection, RunOrder, RunState, Work};
@@ -128,7 +128,7 @@
             Settled::Attach { executor, ran } => {
                 self.take_from(&executor, ran).await.map(Assigned::Elsewhere)
             }
-            Settled::Not(_) => Err(unknown("the key was not settled")),
+            Settled::Failed(_) => Err(unknown("the key was not settled")),
         }
     }
 
@@ -159,7 +159,7 @@
                 Ok(Step::Again)
             }
             Settled::Attach { executor, ran } => Box::pin(self.take_from(&executor, ran)).await,
-            Settled::Not(_) => Err(unknown("the key was not settled")),
+            Settled::Failed(_) => Err(unknown("the key was not settled")),
         }
     }
 
@@ -207,7 +207,8 @@
             work,
         };
         place.ordered();
-        let before = self.prompt.map_or(0, |prompt| self.shared.quarantine.lock().crashes(prompt));
+        let before =
+            self.prompt.map_or(0, |prompt| self.shared.quarantine.lock().crash_count(prompt));
         let passed_before = self.passed;
         let mut reader = self.reader(&endpoint);
         let end = reader.run(&order, &mut open).await;
@@ -226,7 +227,7 @@
     fn note_crash(&self, endpoint: &Endpoint, before: u32) {
         let Some(prompt) = self.prompt else { return };
         let now = self.shared.clock.now();
-        let verdict = self.shared.quarantine.lock().note_crash(prompt, before, now);
+        let verdict = self.shared.quarantine.lock().record_crash(prompt, before, now);
         log::warn!(
             "{LOG} the engine of {} ended on {} digest={prompt}: {verdict:?}",
             endpoint.name,
@@ -238,14 +239,16 @@
     pub(crate) fn refuse_quarantined(&self) -> Result<(), ApiError> {
         let Some(prompt) = self.prompt else { return Ok(()) };
         let now = self.shared.clock.now();
-        let Some(left) = self.shared.quarantine.lock().left(prompt, now) else { return Ok(()) };
+        let Some(left) = self.shared.quarantine.lock().remaining(prompt, now) else {
+            return Ok(());
+        };
         let message = "engines ended on this prompt each time it was run";
         Err(ApiError::not_run(ErrorCode::Quarantined, message).with_retry_after(left))
     }
 
     fn note_answer(&self) {
         if let Some(prompt) = self.prompt {
-            self.shared.quarantine.lock().note_answer(prompt);
+            self.shared.quarantine.lock().record_answer(prompt);
         }
     }
 
@@ -283,7 +286,7 @@
                 self.lost(Some(ran)).await
             }
             StreamEnd::Failed(ran) => self.lost(Some(ran)).await,
-            StreamEnd::EngineEnded => self.lost(Some(Ran::Failed)).await,
+            StreamEnd::EngineEnded => self.lost(Some(RunStatus::Failed)).await,
             StreamEnd::NotTaken(OrderRejection::NotHere { .. } | OrderRejection::InDoubt)
             | StreamEnd::Lost => self.lost(None).await,
         }
@@ -291,7 +294,7 @@
 
     /// It ran, or may have run, and there is no answer: an idempotent request starts again where
     /// its caller has seen nothing yet.
-    async fn lost(&mut self, ran: Option<Ran>) -> Result<Step, ApiError> {
+    async fn lost(&mut self, ran: Option<RunStatus>) -> Result<Step, ApiError> {
         let unseen = self.passed == 0 || self.restartable;
         if !self.job.is_idempotent() || !unseen {
             return Err(ran.map_or_else(|| unknown("its endpoint is gone"), answer_gone));
--- a/crates/bulrushusher_wire/src/control.rs
+++ b/crates/bulrushusher_wire/src/control.rs
@@ -1,7 +1,7 @@
 //! Control calls from an entry to an agent.
 
 use bulrushusher_admission::{Refusal, ReservationId};
-use bulrushusher_once::{Ballot, BarReply, ClaimReply, HomeBar, ServiceList};
+use bulrushusher_once::{Ballot, BarReply, ClaimReply, HomeBarReply, ServiceList};
 use bulrushusher_time::Millis;
 use bulrushusher_world::{Endpoint, EndpointName, EntryName, RequestKey, ServiceName};
 use jsonrpsee::core::RpcResult;
@@ -86,7 +86,7 @@
     /// The agent's state of the key as an executor.
     pub reply: BarReply,
     /// The agent's state of the key as the key's home.
-    pub home: HomeBar,
+    pub home: HomeBarReply,
     /// The highest endpoint list revision that the agent has applied or received in a bar request.
     pub revision: u64,
 }
--- a/crates/bulrushusher_wire/src/frame.rs
+++ b/crates/bulrushusher_wire/src/frame.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use bulrushusher_admission::{Refusal, ReservationId};
-use bulrushusher_once::{Ballot, Ran};
+use bulrushusher_once::{Ballot, RunStatus};
 use bulrushusher_world::RequestKey;
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -111,7 +111,7 @@
     #[display("executed here ({ran}), but the response is no longer available")]
     RanWithoutAnswer {
         /// How far the execution got.
-        ran: Ran,
+        ran: RunStatus,
     },
     /// The agent has promised another ballot; this order was not executed.
     #[display("not executed here: ballot {ballot} is promised")]
