--- a/crates/bulrushusher_entry/src/settle.rs
+++ b/crates/bulrushusher_entry/src/settle.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use bulrushusher_once::{
-    Ballot, BarResponse, ListView, RunStatus, SettleAction, SettleFailure, SettleRequest, Settled,
-    Settlement,
+    AgentBarReply, Ballot, ListView, RunStatus, SettleAction, SettleFailure, SettleRequest,
+    Settled, Settlement,
 };
 use bulrushusher_time::Millis;
 use bulrushusher_wire::{ApiError, BarRequest, ClaimRequest, ErrorCode, RunState};
@@ -111,7 +111,7 @@
         })
         .collect();
     while let Some((name, answer)) = asks.next().await {
-        let heard = answer.map(|answer| BarResponse {
+        let heard = answer.map(|answer| AgentBarReply {
             reply: answer.reply,
             home: answer.home,
             revision: answer.revision,
--- a/crates/bulrushusher_once/src/bar.rs
+++ b/crates/bulrushusher_once/src/bar.rs
@@ -25,7 +25,7 @@
 
 /// One agent's reply to a bar.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BarResponse {
+pub struct AgentBarReply {
     /// From the agent's executor table.
     pub reply: BarReply,
     /// From the agent's home table.
@@ -43,7 +43,7 @@
 ///
 /// ```
 /// use bulrushusher_once::{
-///     Ballot, BarReply, BarResponse, BarRound, BarVerdict, HomeBarReply, Owner,
+///     Ballot, BarReply, AgentBarReply, BarRound, BarVerdict, HomeBarReply, Owner,
 /// };
 /// use bulrushusher_world::{EndpointName, EntryName};
 /// let entry = EntryName::try_from("entry-1").unwrap();
@@ -52,7 +52,7 @@
 /// let mut round = BarRound::new(Ballot::Home.next(&owner), 4, [d1.clone()], None);
 /// assert_eq!(round.verdict(), None);
 /// let reply = BarReply::Clean { earlier: None };
-/// round.record_reply(&d1, BarResponse { reply, home: HomeBarReply::NotGiven, revision: 4 });
+/// round.record_reply(&d1, AgentBarReply { reply, home: HomeBarReply::NotGiven, revision: 4 });
 /// assert_eq!(round.verdict(), Some(BarVerdict::Clear));
 /// ```
 #[derive(Debug)]
@@ -109,7 +109,7 @@
     }
 
     /// Records an agent's reply. Further replies of the same agent are ignored.
-    pub fn record_reply(&mut self, agent: &EndpointName, response: BarResponse) {
+    pub fn record_reply(&mut self, agent: &EndpointName, response: AgentBarReply) {
         if !self.pending.remove(agent) {
             return;
         }
--- a/crates/bulrushusher_once/src/lib.rs
+++ b/crates/bulrushusher_once/src/lib.rs
@@ -21,7 +21,7 @@
 mod settlement;
 
 pub use ballot::{Ballot, Owner};
-pub use bar::{BarResponse, BarRound, BarVerdict};
+pub use bar::{AgentBarReply, BarRound, BarVerdict};
 pub use coverage::{KeyAge, RecordCoverage, key_time};
 pub use executor::{BarReply, ExecutorConfig, ExecutorTable, OrderReply, RunStatus};
 pub use home::{ClaimReply, HomeBarReply, HomeConfig, HomeTable, ServiceList, TableFull};
--- a/crates/bulrushusher_once/src/records.rs
+++ b/crates/bulrushusher_once/src/records.rs
@@ -4,7 +4,7 @@
 use bulrushusher_world::{EndpointName, RequestKey};
 
 use crate::{
-    Ballot, BarReply, BarResponse, ClaimReply, ExecutorConfig, ExecutorTable, HomeBarReply,
+    AgentBarReply, Ballot, BarReply, ClaimReply, ExecutorConfig, ExecutorTable, HomeBarReply,
     HomeConfig, HomeTable, OrderReply, RecordCoverage, RunStatus, ServiceList, home_of,
 };
 
@@ -113,13 +113,13 @@
         ballot: &Ballot,
         revision: u64,
         now: Millis,
-    ) -> BarResponse {
+    ) -> AgentBarReply {
         self.seen_revision = self.seen_revision.max(revision);
         let (reply, home) = match self.home.bar(key, now) {
             Ok(home) => (self.executor.bar(key, ballot, now), home),
             Err(_) => (BarReply::TableFull, HomeBarReply::NotGiven),
         };
-        BarResponse { reply, home, revision: self.seen_revision.max(self.home.revision()) }
+        AgentBarReply { reply, home, revision: self.seen_revision.max(self.home.revision()) }
     }
 
     /// The status of the run of `key` at this endpoint; `None` if it has no run on record.
--- a/crates/bulrushusher_once/src/settlement.rs
+++ b/crates/bulrushusher_once/src/settlement.rs
@@ -6,7 +6,7 @@
 use bulrushusher_world::{EndpointName, RequestKey};
 
 use crate::{
-    Ballot, BarResponse, BarRound, BarVerdict, ClaimReply, Owner, RunStatus, home_of, key_time,
+    AgentBarReply, Ballot, BarRound, BarVerdict, ClaimReply, Owner, RunStatus, home_of, key_time,
 };
 
 /// Maximum bar rounds; then the request yields to the others that contend for the key.
@@ -208,7 +208,7 @@
         &mut self,
         agent: &EndpointName,
         ballot: &Ballot,
-        response: Option<BarResponse>,
+        response: Option<AgentBarReply>,
     ) {
         let State::Barring(round) = &mut self.state else { return };
         if round.ballot() != ballot {
--- a/crates/bulrushusher_once/tests/model/mod.rs
+++ b/crates/bulrushusher_once/tests/model/mod.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bulrushusher_once::{
-    Ballot, BarResponse, ClaimReply, KeyRecords, ListView, OrderReply, Owner, RecordCoverage,
+    AgentBarReply, Ballot, ClaimReply, KeyRecords, ListView, OrderReply, Owner, RecordCoverage,
     RecordsConfig, RunStatus, ServiceList, SettleAction, SettleRequest, Settled, Settlement,
 };
 use bulrushusher_time::Millis;
@@ -435,7 +435,7 @@
         attempt: usize,
         agent: usize,
         ballot: &Ballot,
-        response: Option<BarResponse>,
+        response: Option<AgentBarReply>,
     ) {
         if let State::Settling(settlement) = &mut self.attempts[attempt].state {
             settlement.record_bar_reply(&agent_name(agent), ballot, response);
--- a/crates/bulrushusher_once/tests/rules.rs
+++ b/crates/bulrushusher_once/tests/rules.rs
@@ -1,7 +1,7 @@
 //! Tests of single rules that fuzzing exercises too rarely.
 
 use bulrushusher_once::{
-    Ballot, BarReply, BarResponse, BarRound, BarVerdict, ClaimReply, HomeBarReply, KeyRecords,
+    AgentBarReply, Ballot, BarReply, BarRound, BarVerdict, ClaimReply, HomeBarReply, KeyRecords,
     ListView, OrderReply, Owner, RecordCoverage, RecordsConfig, RunStatus, ServiceList,
     SettleAction, SettleFailure, SettleRequest, Settled, Settlement, home_of,
 };
@@ -118,12 +118,12 @@
     assert_eq!(new_agent.order(&key, true, &Ballot::Home, NOW), OrderReply::InDoubt);
 }
 
-fn clean(earlier: Option<Ballot>, revision: u64) -> BarResponse {
-    BarResponse { reply: BarReply::Clean { earlier }, home: HomeBarReply::NotGiven, revision }
+fn clean(earlier: Option<Ballot>, revision: u64) -> AgentBarReply {
+    AgentBarReply { reply: BarReply::Clean { earlier }, home: HomeBarReply::NotGiven, revision }
 }
 
 /// The verdict of a bar round in which the home `a` is unreachable and `b` replies.
-fn verdict_without_home(response: BarResponse) -> BarVerdict {
+fn verdict_without_home(response: AgentBarReply) -> BarVerdict {
     let ballot = Ballot::Home.next(&owner(1));
     let mut round = BarRound::new(ballot, 3, names(&["a", "b"]), Some(name("a")));
     round.record_unreachable(&name("a"));
@@ -145,7 +145,7 @@
         BarVerdict::Unknown,
         "another list was in use"
     );
-    let given = BarResponse { home: HomeBarReply::Given(name("a")), ..clean(None, 3) };
+    let given = AgentBarReply { home: HomeBarReply::Given(name("a")), ..clean(None, 3) };
     assert_eq!(
         verdict_without_home(given),
         BarVerdict::Unknown,
