--- a/crates/bulrushusher_admission/src/lib.rs
+++ b/crates/bulrushusher_admission/src/lib.rs
@@ -1,16 +1,23 @@
-//! An agent's decisions on its places: who gets one, who waits, whose grant lapsed, who is refused.
+//! Admission control of an agent: a limited number of concurrency slots and a bounded queue.
 //!
-//! A [`Gate`] does no I/O and reads no clock: the agent hands it events and a `Millis`, and carries
-//! out the [`GateAction`]s it returns. A grant is a reservation with a time-to-live on the agent's
-//! own clock, so a paused entry cannot use an old one.
+//! [`AdmissionController`] does no I/O and reads no clock: the agent passes in events with the
+//! current time, and executes the [`AdmissionAction`]s that it gets back. A granted slot is a
+//! reservation with a time-to-live measured by the agent's own clock, so an entry that was paused
+//! cannot use an expired reservation.
 
-mod gate;
+mod controller;
 mod refusal;
 
-pub use gate::{Ask, AskId, Gate, GateAction, GateConfig, Grant, ReservationId};
+pub use controller::{
+    AdmissionAction, AdmissionConfig, AdmissionController, Grant, ReservationId, SlotRequest,
+    SlotRequestId,
+};
 pub use refusal::Refusal;
 
 /// The common types in one `use`.
 pub mod prelude {
-    pub use crate::{Ask, AskId, Gate, GateAction, GateConfig, Grant, Refusal, ReservationId};
+    pub use crate::{
+        AdmissionAction, AdmissionConfig, AdmissionController, Grant, Refusal, ReservationId,
+        SlotRequest, SlotRequestId,
+    };
 }
--- a/crates/bulrushusher_agent/src/config.rs
+++ b/crates/bulrushusher_agent/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use bulrushusher_admission::GateConfig;
+use bulrushusher_admission::AdmissionConfig;
 use bulrushusher_config::{ConfigError, Kind, Program, Setting, Values, setting};
 use bulrushusher_time::Millis;
 use bulrushusher_world::{DataCentreName, EndpointName, Role, ServiceName};
@@ -101,7 +101,7 @@
     /// Address of the engine or plain service.
     pub target: SocketAddr,
     /// Places, queue and time-to-live of grants.
-    pub gate: GateConfig,
+    pub gate: AdmissionConfig,
     /// How long callers may retry a key.
     pub horizon: Millis,
     /// Largest difference between two clocks.
@@ -134,9 +134,9 @@
             control: values.address("agent", "control"),
             stream: values.address("agent", "stream"),
             target: values.address("agent", "target"),
-            gate: GateConfig {
-                places: values.count("gate", "places"),
-                queue_bound: values.count("gate", "queue").max(1),
+            gate: AdmissionConfig {
+                slots: values.count("gate", "places"),
+                max_queued: values.count("gate", "queue").max(1),
                 time_to_live: values.millis("gate", "time_to_live_ms"),
             },
             horizon: values.millis("records", "horizon_ms"),
--- a/crates/bulrushusher_agent/src/desk.rs
+++ b/crates/bulrushusher_agent/src/desk.rs
@@ -3,7 +3,8 @@
 use std::collections::HashMap;
 
 use bulrushusher_admission::{
-    Ask, AskId, Gate, GateAction, GateConfig, Grant, Refusal, ReservationId,
+    AdmissionAction, AdmissionConfig, AdmissionController, Grant, Refusal, ReservationId,
+    SlotRequest, SlotRequestId,
 };
 use bulrushusher_time::{Clock, Millis};
 use bulrushusher_wire::{AgentLoad, ReserveAsk};
@@ -16,8 +17,8 @@
 
 #[derive(Debug)]
 struct Inner {
-    gate: Gate,
-    askers: HashMap<AskId, oneshot::Sender<Answer>>,
+    gate: AdmissionController,
+    askers: HashMap<SlotRequestId, oneshot::Sender<Answer>>,
     next_ask: u64,
 }
 
@@ -29,8 +30,9 @@
 }
 
 impl Desk {
-    pub(crate) fn new(cfg: GateConfig, clock: Clock) -> Desk {
-        let inner = Inner { gate: Gate::new(cfg), askers: HashMap::new(), next_ask: 1 };
+    pub(crate) fn new(cfg: AdmissionConfig, clock: Clock) -> Desk {
+        let inner =
+            Inner { gate: AdmissionController::new(cfg), askers: HashMap::new(), next_ask: 1 };
         Desk { clock, inner: Mutex::new(inner) }
     }
 
@@ -43,17 +45,17 @@
         answer
     }
 
-    fn ask(&self, ask: &ReserveAsk) -> (AskId, oneshot::Receiver<Answer>) {
+    fn ask(&self, ask: &ReserveAsk) -> (SlotRequestId, oneshot::Receiver<Answer>) {
         let now = self.clock.now();
         let (tx, rx) = oneshot::channel();
         let mut inner = self.inner.lock();
-        let id = AskId(inner.next_ask);
+        let id = SlotRequestId(inner.next_ask);
         inner.next_ask += 1;
         inner.askers.insert(id, tx);
         let start_by = now.plus(ask.start_within);
-        let late_by = now.plus(ask.late_within).max(start_by);
-        let ask = Ask { id, start_by, late_by, give_up: now.plus(ask.wait) };
-        let actions = inner.gate.ask(ask, now);
+        let late_start_by = now.plus(ask.late_within).max(start_by);
+        let ask = SlotRequest { id, start_by, late_start_by, wait_until: now.plus(ask.wait) };
+        let actions = inner.gate.request(ask, now);
         inner.carry_out(actions, now);
         (id, rx)
     }
@@ -67,7 +69,7 @@
     pub(crate) fn finish(&self, id: ReservationId) {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
-        let actions = inner.gate.finish(id, now);
+        let actions = inner.gate.release(id, now);
         inner.carry_out(actions, now);
     }
 
@@ -82,7 +84,7 @@
     pub(crate) fn set_leaving(&self, leaving: bool) {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
-        let actions = inner.gate.set_leaving(leaving);
+        let actions = inner.gate.set_draining(leaving);
         inner.carry_out(actions, now);
     }
 
@@ -92,7 +94,7 @@
     }
 
     pub(crate) fn is_leaving(&self) -> bool {
-        self.inner.lock().gate.is_leaving()
+        self.inner.lock().gate.is_draining()
     }
 
     /// Places held, started or not.
@@ -104,34 +106,34 @@
         let inner = self.inner.lock();
         AgentLoad {
             used: inner.gate.used() as u32,
-            places: inner.gate.places() as u32,
-            waiting: inner.gate.waiting() as u32,
+            places: inner.gate.slots() as u32,
+            waiting: inner.gate.queued() as u32,
             expected_wait: inner.gate.expected_wait(self.clock.now()),
         }
     }
 }
 
 impl Inner {
-    fn carry_out(&mut self, actions: Vec<GateAction>, now: Millis) {
+    fn carry_out(&mut self, actions: Vec<AdmissionAction>, now: Millis) {
         for action in actions {
             match action {
-                GateAction::Grant(ask, grant) => self.answer(ask, Ok(grant), now),
-                GateAction::Refuse(ask, refusal) => self.answer(ask, Err(refusal), now),
-                GateAction::Lapsed(id) => {
+                AdmissionAction::Grant(ask, grant) => self.answer(ask, Ok(grant), now),
+                AdmissionAction::Refuse(ask, refusal) => self.answer(ask, Err(refusal), now),
+                AdmissionAction::Expired(id) => {
                     log::info!("{LOG} reservation {id} lapsed without an order, place freed");
                 }
             }
         }
     }
 
-    fn answer(&mut self, ask: AskId, answer: Answer, now: Millis) {
+    fn answer(&mut self, ask: SlotRequestId, answer: Answer, now: Millis) {
         let granted = answer.as_ref().ok().map(|grant| grant.id);
         let Some(asker) = self.askers.remove(&ask) else { return };
         let undelivered = asker.send(answer).is_err();
         if let Some(id) = granted
             && undelivered
         {
-            let actions = self.gate.finish(id, now);
+            let actions = self.gate.release(id, now);
             self.carry_out(actions, now);
         }
     }
@@ -140,7 +142,7 @@
 /// Withdraws the request of an asker who went away.
 struct Waiting<'a> {
     desk: &'a Desk,
-    id: Option<AskId>,
+    id: Option<SlotRequestId>,
 }
 
 impl Drop for Waiting<'_> {
@@ -149,7 +151,7 @@
         let now = self.desk.clock.now();
         let mut inner = self.desk.inner.lock();
         inner.askers.remove(&id);
-        let actions = inner.gate.withdraw(id, now);
+        let actions = inner.gate.cancel(id, now);
         inner.carry_out(actions, now);
     }
 }
--- a/tools/bulrushusher_slopes/src/state.rs
+++ b/tools/bulrushusher_slopes/src/state.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use bulrushusher_accounts::{Quota, QuotaConfig, QuotaLimiter, Sharing};
-use bulrushusher_admission::{Ask, AskId, Gate, GateConfig};
+use bulrushusher_admission::{AdmissionConfig, AdmissionController, SlotRequest, SlotRequestId};
 use bulrushusher_once::{
     Ballot, ExecutorConfig, ExecutorTable, HomeConfig, HomeTable, ServiceList, Vouch,
 };
@@ -186,23 +186,23 @@
 
 fn gate_time() -> Slope {
     slope("ask, start, finish", "ns", "request waiting", [0, 100, 250, 500], |waiting| {
-        let cfg = GateConfig { places: 1, queue_bound: 1_000, time_to_live: Millis(60_000_000) };
-        let mut gate = Gate::new(cfg);
-        let ask = |n: usize| Ask {
-            id: AskId(n as u64),
+        let cfg = AdmissionConfig { slots: 1, max_queued: 1_000, time_to_live: Millis(60_000_000) };
+        let mut gate = AdmissionController::new(cfg);
+        let ask = |n: usize| SlotRequest {
+            id: SlotRequestId(n as u64),
             start_by: NOW.plus(Millis(n as u64)),
-            late_by: NOW.plus(Millis(10_000_000)),
-            give_up: Millis::MAX,
+            late_start_by: NOW.plus(Millis(10_000_000)),
+            wait_until: Millis::MAX,
         };
         let mut granted = Vec::new();
         for n in 0..=waiting {
-            granted.extend(gate.ask(ask(n), NOW));
+            granted.extend(gate.request(ask(n), NOW));
         }
         nanos(20_000, |round| {
-            granted.extend(gate.ask(ask(waiting + 1 + round), NOW));
-            if let Some(bulrushusher_admission::GateAction::Grant(_, grant)) = granted.pop() {
+            granted.extend(gate.request(ask(waiting + 1 + round), NOW));
+            if let Some(bulrushusher_admission::AdmissionAction::Grant(_, grant)) = granted.pop() {
                 gate.start(grant.id, NOW).expect("a fresh grant");
-                granted.extend(gate.finish(grant.id, NOW));
+                granted.extend(gate.release(grant.id, NOW));
             }
         })
     })
--- a/tools/bulrushusher_testbed/src/bed.rs
+++ b/tools/bulrushusher_testbed/src/bed.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bulrushusher_admission::GateConfig;
+use bulrushusher_admission::AdmissionConfig;
 use bulrushusher_agent::{Agent, AgentConfig};
 use bulrushusher_entry::{Entry, EntryConfig, split_evenly};
 use bulrushusher_operator::v1;
@@ -401,7 +401,7 @@
         control: loopback(),
         stream: loopback(),
         target: target_addr,
-        gate: GateConfig { places, ..GateConfig::default() },
+        gate: AdmissionConfig { slots: places, ..AdmissionConfig::default() },
         horizon: Millis(600_000),
         skew: Millis(200),
         max_keys: 100_000,
