--- a/crates/bulrushusher_gateway/src/knowledge/memory.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/memory.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use bulrushusher_accounts::Spends;
+use bulrushusher_accounts::UsageReport;
 use bulrushusher_forward::{
     ChangesNews, DecodeLoad, GatewayChanges, GatewayReport, MemoryForecast, PrefillTask, RunNote,
     RunNumber, RunShape, Runner, Stage, WaitQueue, rank_for_decode, should_request_memory,
@@ -199,7 +199,7 @@
             starts,
             news: self.news_told(),
             contact: self.contact(),
-            spends: Spends::default(),
+            spends: UsageReport::default(),
             limits,
             leaving,
         };
--- a/tools/bulrushusher_slopes/src/state.rs
+++ b/tools/bulrushusher_slopes/src/state.rs
@@ -3,8 +3,8 @@
 
 use std::time::Instant;
 
-use bulrushusher_accounts::{Quota, QuotaBook, QuotaConfig, Sharing};
-use bulrushusher_admission::{Ask, AskId, Gate, GateConfig};
+use bulrushusher_accounts::{Quota, QuotaConfig, QuotaLimiter, Sharing};
+use bulrushusher_admission::{AdmissionConfig, AdmissionController, SlotRequest, SlotRequestId};
 use bulrushusher_once::{
     Ballot, ExecutorConfig, ExecutorTable, HomeConfig, HomeTable, RecordCoverage, ServiceList,
 };
@@ -133,15 +133,15 @@
         bytes(|| {
             let cfg = QuotaConfig {
                 sharing: Sharing::Fixed(380),
-                most: accounts,
+                max_accounts: accounts,
                 ..QuotaConfig::default()
             };
-            let mut quotas = QuotaBook::new(cfg, NOW);
+            let mut quotas = QuotaLimiter::new(cfg, NOW);
             for number in 0..accounts {
                 let account = account(number);
                 let per_second = account.requests_per_second;
                 let quota = Quota { per_second, burst: account.burst as f64 };
-                quotas.configure([(&account.name, Some(quota))], NOW);
+                quotas.set_quotas([(&account.name, Some(quota))], NOW);
                 quotas.admit(&account.name, 1, NOW).ok();
             }
             quotas
@@ -187,23 +187,23 @@
 
 fn gate_time() -> Slope {
     slope("ask, start, finish", "ns", "request waiting", [0, 100, 250, 500], |waiting| {
-        let cfg = GateConfig { places: 1, queue_bound: 1_000, time_to_live: Millis(60_000_000) };
-        let mut gate = Gate::new(cfg);
-        let ask = |n: usize| Ask {
-            id: AskId(n as u64),
+        let cfg = AdmissionConfig { slots: 1, max_queued: 1_000, time_to_live: Millis(60_000_000) };
+        let mut gate = AdmissionController::new(cfg);
+        let ask = |n: usize| SlotRequest {
+            id: SlotRequestId(n as u64),
             start_by: NOW.plus(Millis(n as u64)),
-            late_by: NOW.plus(Millis(10_000_000)),
-            give_up: Millis::MAX,
+            late_start_by: NOW.plus(Millis(10_000_000)),
+            wait_until: Millis::MAX,
         };
         let mut granted = Vec::new();
         for n in 0..=waiting {
-            granted.extend(gate.ask(ask(n), NOW));
+            granted.extend(gate.request(ask(n), NOW));
         }
         nanos(20_000, |round| {
-            granted.extend(gate.ask(ask(waiting + 1 + round), NOW));
-            if let Some(bulrushusher_admission::GateAction::Grant(_, grant)) = granted.pop() {
+            granted.extend(gate.request(ask(waiting + 1 + round), NOW));
+            if let Some(bulrushusher_admission::AdmissionAction::Grant(_, grant)) = granted.pop() {
                 gate.start(grant.id, NOW).expect("a fresh grant");
-                granted.extend(gate.finish(grant.id, NOW));
+                granted.extend(gate.release(grant.id, NOW));
             }
         })
     })
