--- a/crates/bulrushusher_forward/src/gateways.rs
+++ b/crates/bulrushusher_forward/src/gateways.rs
@@ -1,7 +1,7 @@
-//! The other gateways: where they are, whom to tell, and whose announcement nobody answers for.
+//! Directory of the other gateways: addresses, liveness and stale announcements.
 //!
-//! Each gateway announces itself in the store, and whoever is heard of is known too. Announcements do
-//! not expire by themselves, so that those of gateways that are gone are removed by the others.
+//! Each gateway writes an announcement to the store; a gateway that sends a message is added as
+//! well. Announcements have no expiry in the store, so live gateways remove those of dead ones.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -11,24 +11,26 @@
 
 use crate::rendezvous::is_among_first;
 
-/// Bounds of the knowledge of other gateways.
+/// Limits of the directory of other gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GatewaysConfig {
-    /// How long a gateway is told each change after it was heard or found.
+    /// Time after its last message or discovery during which a gateway is sent each change.
     pub told_for: Millis,
     /// Silence after which an announcement is removed.
     pub gone_after: Millis,
-    /// Gateways that are known at most; those that were silent for longest are forgotten.
+    /// Maximum number of known gateways; beyond it the one silent for longest is evicted.
     pub most: usize,
-    /// Announcements that one gateway removes at one look.
+    /// Maximum number of announcements that one gateway removes per check.
     pub most_removed: usize,
 }
 
 impl Default for GatewaysConfig {
-    /// A gateway speaks at least every 0.7 s; one that was silent for ten seconds is gone or cut off, and
-    /// gets whole reports only. After a minute its part of quotas and rate limits is free for the others;
-    /// a VM that is back later, or a data centre that was cut off for longer, announces itself again. Ten times the gateways to design for are known, at some hundred
-    /// bytes each. A few removals at a look keep the store's writes low after a great loss.
+    /// A gateway sends a message at least every 0.7 s. One that was silent for ten seconds is dead
+    /// or partitioned and gets full reports only. After a minute its share of quotas and rate
+    /// limits is free for the others; a VM that returns later, or a data centre partitioned for
+    /// longer, announces itself again. The capacity is ten times the design size of a fleet, at
+    /// some hundred bytes per gateway. Few removals per check keep the store's write rate low after
+    /// many gateways fail at once.
     fn default() -> GatewaysConfig {
         GatewaysConfig {
             told_for: Millis(10_000),
@@ -44,38 +46,38 @@
 pub struct Announced {
     /// Name of its VM.
     pub name: Arc<str>,
-    /// Where it hears others.
+    /// Address at which it receives messages of other gateways.
     pub address: SocketAddr,
-    /// The store's revision of the announcement.
+    /// Store revision of the announcement.
     pub revision: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct Gateway {
     address: SocketAddr,
-    /// When it was found, or moved.
-    since: Millis,
-    heard_at: Option<Millis>,
-    /// Revision of its announcement, where there is one.
-    announced: Option<u64>,
+    /// When it was discovered, changed its address or renewed its announcement.
+    changed_at: Millis,
+    last_message: Option<Millis>,
+    /// Revision of its announcement, if it has one.
+    announced_revision: Option<u64>,
 }
 
-impl Known {
-    fn last_sign(&self) -> Millis {
-        self.heard_at.unwrap_or(self.since).max(self.since)
+impl Gateway {
+    fn last_activity(&self) -> Millis {
+        self.last_message.unwrap_or(self.changed_at).max(self.changed_at)
     }
 }
 
-/// What a list of announcements tells.
+/// Result of comparing the directory with a full list of announcements.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListedGateways {
-    /// Gateways that were not known at their address.
+    /// Gateways that are new, or announce a new address.
     pub found: Vec<Announced>,
     /// True when this gateway's own announcement is missing.
     pub own_is_missing: bool,
 }
 
-/// The other gateways, as one of them knows them.
+/// The other gateways, as known to one gateway.
 ///
 /// ```
 /// use bulrushusher_forward::{Announced, Gateways, GatewaysConfig};
@@ -86,7 +88,7 @@
 /// let announced = Announced { name: "entry-2".into(), address, revision: 9 };
 /// let listed = gateways.list(&[announced.clone()], Millis(0));
 /// assert_eq!((listed.found, listed.own_is_missing), (vec![announced], true));
-/// // It is told each change for some time, and whole reports while it is announced.
+/// // It is sent each change for a limited time, and full reports for as long as it is announced.
 /// assert_eq!(gateways.told(Millis(500)), [address]);
 /// assert!(gateways.told(cfg.told_for).is_empty());
 /// assert_eq!(gateways.all(), [address]);
@@ -94,130 +96,151 @@
 #[derive(Clone, Debug)]
 pub struct Gateways {
     cfg: GatewaysConfig,
-    own: Arc<str>,
-    known: HashMap<Arc<str>, Known>,
+    own_name: Arc<str>,
+    gateways: HashMap<Arc<str>, Gateway>,
 }
 
 impl Gateways {
-    /// None is known but this one, which is called `own`.
-    pub fn new(cfg: GatewaysConfig, own: Arc<str>) -> Gateways {
-        Gateways { cfg, own, known: HashMap::new() }
+    /// Creates an empty directory for the gateway named `own_name`.
+    pub fn new(cfg: GatewaysConfig, own_name: Arc<str>) -> Gateways {
+        Gateways { cfg, own_name, gateways: HashMap::new() }
     }
 
-    /// A gateway was heard; true when it was not known there.
+    /// Records a message from a gateway; returns true when it is new or has a new address.
     pub fn hear(&mut self, name: &str, address: SocketAddr, now: Millis) -> bool {
-        let known = self.known.get_mut(name);
-        if let Some(known) = known.filter(|known| known.address == address) {
-            known.heard_at = Some(now);
+        let gateway = self.gateways.get_mut(name);
+        if let Some(gateway) = gateway.filter(|gateway| gateway.address == address) {
+            gateway.last_message = Some(now);
             return false;
         }
-        let announced = self.known.get(name).and_then(|known| known.announced);
-        let known = Known { address, since: now, heard_at: Some(now), announced };
-        self.put(name.into(), known);
+        let announced_revision =
+            self.gateways.get(name).and_then(|gateway| gateway.announced_revision);
+        let last_message = Some(now);
+        let gateway = Gateway { address, changed_at: now, last_message, announced_revision };
+        self.insert(name.into(), gateway);
         true
     }
 
-    /// Takes in all announcements. Whoever is neither announced nor heard lately is forgotten.
+    /// Applies a full list of announcements. Gateways that are neither announced nor active are
+    /// dropped.
     pub fn list(&mut self, all: &[Announced], now: Millis) -> ListedGateways {
         let mut listed = ListedGateways { own_is_missing: true, ..ListedGateways::default() };
         for announced in all {
-            if announced.name == self.own {
+            if announced.name == self.own_name {
                 listed.own_is_missing = false;
-            } else if self.note_announced(announced, now) {
+            } else if self.apply_announcement(announced, now) {
                 listed.found.push(announced.clone());
             }
         }
         let told_for = self.cfg.told_for;
         let names: HashSet<&str> = all.iter().map(|announced| &*announced.name).collect();
-        self.known.retain(|name, known| {
-            known.announced = known.announced.filter(|_| names.contains(&**name));
-            known.announced.is_some() || now.since(known.last_sign()) < told_for
+        self.gateways.retain(|name, gateway| {
+            gateway.announced_revision =
+                gateway.announced_revision.filter(|_| names.contains(&**name));
+            gateway.announced_revision.is_some() || now.since(gateway.last_activity()) < told_for
         });
         listed
     }
 
-    /// True when the gateway was not known at its address. A word of its own counts for more than its
-    /// announcement, which may be that of its last start. One that is written anew is a sign of life.
-    fn note_announced(&mut self, announced: &Announced, now: Millis) -> bool {
+    /// Returns true when the gateway is new or has a new address. The address of a recent message
+    /// takes precedence over the announcement, which may stem from the gateway's previous start. A
+    /// rewritten announcement counts as a sign of life.
+    fn apply_announcement(&mut self, announced: &Announced, now: Millis) -> bool {
         let (address, revision) = (announced.address, Some(announced.revision));
         let told_for = self.cfg.told_for;
-        if let Some(known) = self.known.get_mut(&announced.name) {
-            if known.announced.is_some() && known.announced != revision {
-                known.since = now;
+        if let Some(gateway) = self.gateways.get_mut(&announced.name) {
+            if gateway.announced_revision.is_some() && gateway.announced_revision != revision {
+                gateway.changed_at = now;
             }
-            known.announced = revision;
-            let is_heard = known.heard_at.is_some_and(|at| now.since(at) < told_for);
-            if known.address == address || is_heard {
+            gateway.announced_revision = revision;
+            let has_recent_message =
+                gateway.last_message.is_some_and(|at| now.since(at) < told_for);
+            if gateway.address == address || has_recent_message {
                 return false;
             }
         }
-        let known = Known { address, since: now, heard_at: None, announced: revision };
-        self.put(announced.name.clone(), known);
+        let gateway =
+            Gateway { address, changed_at: now, last_message: None, announced_revision: revision };
+        self.insert(announced.name.clone(), gateway);
         true
     }
 
-    fn put(&mut self, name: Arc<str>, known: Known) {
-        self.known.insert(name, known);
-        if self.known.len() > self.cfg.most {
-            let oldest =
-                self.known.iter().min_by_key(|(name, it)| (it.last_sign(), (*name).clone()));
+    fn insert(&mut self, name: Arc<str>, gateway: Gateway) {
+        self.gateways.insert(name, gateway);
+        if self.gateways.len() > self.cfg.most {
+            let oldest = self
+                .gateways
+                .iter()
+                .min_by_key(|(name, gateway)| (gateway.last_activity(), (*name).clone()));
             if let Some(name) = oldest.map(|(name, _)| name.clone()) {
-                self.known.remove(&name);
+                self.gateways.remove(&name);
             }
         }
     }
 
-    /// Whom to tell each change: those that were heard or found a short time ago.
+    /// Addresses of active gateways: those to send each change to.
     pub fn told(&self, now: Millis) -> Vec<SocketAddr> {
-        self.lately(now).map(|(_, known)| known.address).collect()
+        self.active(now).map(|(_, gateway)| gateway.address).collect()
     }
 
-    /// Whom to tell each change, with their names.
+    /// Names and addresses of active gateways.
     pub fn told_by_name(&self, now: Millis) -> Vec<(Arc<str>, SocketAddr)> {
-        self.lately(now).map(|(name, known)| (name.clone(), known.address)).collect()
+        self.active(now).map(|(name, gateway)| (name.clone(), gateway.address)).collect()
     }
 
-    fn lately(&self, now: Millis) -> impl Iterator<Item = (&Arc<str>, &Known)> {
-        self.known.iter().filter(move |(_, it)| now.since(it.last_sign()) < self.cfg.told_for)
+    fn active(&self, now: Millis) -> impl Iterator<Item = (&Arc<str>, &Gateway)> {
+        self.gateways
+            .iter()
+            .filter(move |(_, gateway)| now.since(gateway.last_activity()) < self.cfg.told_for)
     }
 
-    /// Where a gateway hears others.
+    /// Address at which a gateway receives messages.
     pub fn address_of(&self, name: &str) -> Option<SocketAddr> {
-        self.known.get(name).map(|known| known.address)
+        self.gateways.get(name).map(|gateway| gateway.address)
     }
 
-    /// All that are known: whole reports reach also those that were cut off.
+    /// Addresses of all known gateways. Full reports go to all of them, so that gateways behind a
+    /// healed partition are reached too.
     pub fn all(&self) -> Vec<SocketAddr> {
-        self.known.values().map(|known| known.address).collect()
+        self.gateways.values().map(|gateway| gateway.address).collect()
     }
 
-    /// Announcements that this gateway should remove, each if it still has its revision. None while
-    /// nobody is heard: then this gateway is the one that is cut off. Of those that hear each other one
-    /// does it for each announcement. Between halves that do not hear each other, each is removed and
-    /// written anew once in [`GatewaysConfig::gone_after`].
+    /// Expired announcements for this gateway to remove, each on condition that its revision is
+    /// unchanged. Empty while no other gateway is heard, as this gateway may be the partitioned
+    /// one. Among gateways that hear each other, rendezvous hashing assigns each announcement to
+    /// one of them. Across a partition each announcement is removed and rewritten once per
+    /// [`GatewaysConfig::gone_after`].
     pub fn to_remove(&self, now: Millis) -> Vec<Announced> {
-        let is_heard =
-            |known: &Known| known.heard_at.is_some_and(|at| now.since(at) < self.cfg.told_for);
-        let announced = self.known.iter().filter(|(_, known)| known.announced.is_some());
-        if !self.known.values().any(is_heard) {
+        let has_recent_message = |gateway: &Gateway| {
+            gateway.last_message.is_some_and(|at| now.since(at) < self.cfg.told_for)
+        };
+        let announced =
+            self.gateways.iter().filter(|(_, gateway)| gateway.announced_revision.is_some());
+        if !self.gateways.values().any(has_recent_message) {
             return Vec::new();
         }
-        let gone = announced.filter(|(_, it)| now.since(it.last_sign()) >= self.cfg.gone_after);
-        let mine = gone.filter(|(name, _)| self.is_first_for(name, is_heard));
-        let mut mine: Vec<Announced> = mine
-            .filter_map(|(name, known)| {
-                let (name, address) = (name.clone(), known.address);
-                Some(Announced { name, address, revision: known.announced? })
+        let expired = announced
+            .filter(|(_, gateway)| now.since(gateway.last_activity()) >= self.cfg.gone_after);
+        let assigned =
+            expired.filter(|(name, _)| self.is_responsible_for(name, has_recent_message));
+        let mut assigned: Vec<Announced> = assigned
+            .filter_map(|(name, gateway)| {
+                let (name, address) = (name.clone(), gateway.address);
+                Some(Announced { name, address, revision: gateway.announced_revision? })
             })
             .collect();
-        mine.sort_by(|a, b| a.name.cmp(&b.name));
-        mine.truncate(self.cfg.most_removed);
-        mine
+        assigned.sort_by(|a, b| a.name.cmp(&b.name));
+        assigned.truncate(self.cfg.most_removed);
+        assigned
     }
 
-    /// True when this gateway comes before all others that it hears, in rendezvous order.
-    fn is_first_for(&self, name: &str, is_heard: impl Fn(&Known) -> bool) -> bool {
-        let heard = self.known.iter().filter(|(_, known)| is_heard(known));
-        is_among_first(1, name, &self.own, heard.map(|(other, _)| &**other))
+    /// True when this gateway comes first in rendezvous order among those it hears.
+    fn is_responsible_for(
+        &self,
+        name: &str,
+        has_recent_message: impl Fn(&Gateway) -> bool,
+    ) -> bool {
+        let live = self.gateways.iter().filter(|(_, gateway)| has_recent_message(gateway));
+        is_among_first(1, name, &self.own_name, live.map(|(other, _)| &**other))
     }
 }
--- a/crates/bulrushusher_forward/src/relays.rs
+++ b/crates/bulrushusher_forward/src/relays.rs
@@ -1,9 +1,10 @@
-//! Which gateways watch the store, and which hear of its changes from those.
+//! Selection of relays: the gateways that watch the store and forward its changes to the others.
 //!
-//! A store's rates grow more slowly than a fleet, and each change wakes all that watch. So of many
-//! gateways a few watch, the relays, and pass changes on. All choose alike without asking anybody: relays
-//! are the first in a fixed order of names among the gateways that are heard and that the store has not
-//! failed lately. Whoever hears too few relays watches itself.
+//! The store's request limits grow more slowly than a fleet, and each change wakes every watcher.
+//! In a large fleet only a few gateways, the relays, therefore watch the store. Each gateway
+//! computes the same selection without coordination: the first ones by hash of the name, among
+//! live gateways that have not lost contact with the store. A gateway that sees too few relays
+//! watches the store itself.
 
 use std::sync::Arc;
 
@@ -13,39 +14,40 @@
 
 use crate::rendezvous::is_among_first;
 
-/// What a gateway has with the store, as it tells its peers.
+/// A gateway's contact with the store, as it reports it to its peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreContact {
     /// It does not watch the store.
     #[default]
     Idle,
-    /// It watches the store, which answers.
+    /// It watches the store, and the store answers.
     Watching,
-    /// The store did not answer it, or it is shutting down: others are to watch.
+    /// The store did not answer, or the gateway is shutting down; others must watch instead.
     Lost,
 }
 
-/// How a gateway learns of the store's changes.
+/// How a gateway receives store changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreRole {
     /// It watches the store.
     Watch,
-    /// It hears of changes from relays.
+    /// It receives changes from relays.
     Listen,
 }
 
-/// Bounds of the choice of relays.
+/// Limits of the selection of relays.
 #[derive(Clone, Copy, Debug)]
 pub struct RelaysConfig {
-    /// Gateways below which all watch.
+    /// Number of gateways below which all of them watch the store.
     pub least_gateways: usize,
-    /// Fewest relays.
+    /// Minimum number of relays.
     pub least_relays: usize,
-    /// Relays that must be heard watching for others to rely on them.
+    /// Minimum number of peers that must watch the store before others rely on them.
     pub least_watching: usize,
-    /// Relays that tell each change to a gateway that listens.
+    /// Number of relays that forward each change to a listening gateway.
     pub tellers: usize,
-    /// Silence after which a gateway does not count, and how long one listens while too few watch.
+    /// Silence after which a peer is not counted, and how long a gateway keeps listening while too
+    /// few peers watch.
     pub silent_after: Millis,
 }
 
@@ -62,8 +64,8 @@
 }
 
 impl RelaysConfig {
-    /// Relays among so many gateways. Calls to the store grow with them, and what one relay tells grows with
-    /// the gateways for each; the square root splits the growth between both.
+    /// Number of relays in a fleet of `gateways`. More relays mean more calls to the store, fewer
+    /// mean more messages per relay; the square root splits the growth between both.
     ///
     /// ```
     /// use bulrushusher_forward::RelaysConfig;
@@ -79,37 +81,37 @@
     }
 }
 
-/// A peer that was heard lately.
+/// A live peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayPeer {
     /// Its name.
     pub name: Arc<str>,
-    /// What it has with the store.
+    /// Its contact with the store.
     pub contact: StoreContact,
 }
 
-/// Who watches the store, as one gateway sees it.
+/// Result of the selection, as seen by one gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayView {
-    /// How this gateway learns of changes.
+    /// How this gateway receives changes.
     pub role: StoreRole,
-    /// True when this gateway may carry out duties that one gateway is enough for.
+    /// True when this gateway may run the duties for which one gateway is enough.
     pub keeps_duties: bool,
-    /// True while this gateway passes changes on.
+    /// True while this gateway forwards changes.
     pub tells: bool,
-    /// Peers that watch.
+    /// Peers that watch the store, in the order of selection.
     pub watching: Vec<Arc<str>>,
 }
 
 impl Default for RelayView {
-    /// What a gateway sees that has heard of no other.
+    /// The view of a gateway without known peers.
     fn default() -> RelayView {
         let role = StoreRole::Watch;
         RelayView { role, keeps_duties: true, tells: false, watching: Vec::new() }
     }
 }
 
-/// The choice of relays, as one gateway makes it.
+/// Selects relays on behalf of one gateway.
 ///
 /// ```
 /// use bulrushusher_forward::{RelayPeer, Relays, RelaysConfig, StoreContact, StoreRole};
@@ -117,7 +119,8 @@
 /// let mut relays = Relays::new(RelaysConfig::default(), "entry-0".into());
 /// let alone = relays.decide(StoreContact::Idle, &[], Millis(0));
 /// assert_eq!((alone.role, alone.keeps_duties), (StoreRole::Watch, true));
-/// let watching = |n| RelayPeer { name: format!("entry-{n}").into(), contact: StoreContact::Watching };
+/// let contact = StoreContact::Watching;
+/// let watching = |n| RelayPeer { name: format!("entry-{n}").into(), contact };
 /// let peers: Vec<RelayPeer> = (1..40).map(watching).collect();
 /// let lost = relays.decide(StoreContact::Lost, &peers, Millis(100));
 /// assert_eq!(lost.role, StoreRole::Listen, "others can tell what the store does not");
@@ -125,60 +128,65 @@
 #[derive(Clone, Debug)]
 pub struct Relays {
     cfg: RelaysConfig,
-    own: Arc<str>,
-    /// Since when too few relays are heard.
-    short_since: Option<Millis>,
+    own_name: Arc<str>,
+    /// When the number of watching peers fell below the minimum.
+    too_few_since: Option<Millis>,
 }
 
 impl Relays {
-    /// The choice of the gateway that is called `own`.
-    pub fn new(cfg: RelaysConfig, own: Arc<str>) -> Relays {
-        Relays { cfg, own, short_since: None }
+    /// Creates the selection for the gateway named `own_name`.
+    pub fn new(cfg: RelaysConfig, own_name: Arc<str>) -> Relays {
+        Relays { cfg, own_name, too_few_since: None }
     }
 
-    /// Takes other bounds.
+    /// Replaces the limits.
     pub fn reconfigure(&mut self, cfg: RelaysConfig) {
         self.cfg = cfg;
     }
 
-    /// Who watches, by what this gateway has with the store itself and what peers tell that were heard
+    /// Decides who watches the store, from this gateway's own contact with it and the peers heard
     /// within [`RelaysConfig::silent_after`].
-    pub fn decide(&mut self, own: StoreContact, peers: &[RelayPeer], now: Millis) -> RelayView {
+    pub fn decide(
+        &mut self,
+        own_contact: StoreContact,
+        peers: &[RelayPeer],
+        now: Millis,
+    ) -> RelayView {
         let watching = self.watching(peers);
         if peers.len() + 1 < self.cfg.least_gateways {
-            self.short_since = None;
+            self.too_few_since = None;
             return RelayView { watching, ..RelayView::default() };
         }
-        let is_relay = self.is_relay(own, peers);
-        let is_short = !is_relay && watching.len() < self.cfg.least_watching;
-        let role = match is_relay || self.is_left_alone(is_short, now) {
+        let is_relay = self.is_relay(own_contact, peers);
+        let has_too_few = !is_relay && watching.len() < self.cfg.least_watching;
+        let role = match is_relay || self.relays_are_missing(has_too_few, now) {
             true => StoreRole::Watch,
             false => StoreRole::Listen,
         };
-        let tells = own == StoreContact::Watching && role == StoreRole::Watch;
-        let is_first = watching.iter().all(|name| rank(&self.own) <= rank(name));
+        let tells = own_contact == StoreContact::Watching && role == StoreRole::Watch;
+        let is_first = watching.iter().all(|name| rank(&self.own_name) <= rank(name));
         RelayView { role, keeps_duties: tells && is_first, tells, watching }
     }
 
-    /// True once too few have watched for too long.
-    fn is_left_alone(&mut self, is_short: bool, now: Millis) -> bool {
-        if !is_short {
-            self.short_since = None;
+    /// True once too few peers have watched for [`RelaysConfig::silent_after`].
+    fn relays_are_missing(&mut self, has_too_few: bool, now: Millis) -> bool {
+        if !has_too_few {
+            self.too_few_since = None;
             return false;
         }
-        now.since(*self.short_since.get_or_insert(now)) >= self.cfg.silent_after
+        now.since(*self.too_few_since.get_or_insert(now)) >= self.cfg.silent_after
     }
 
-    /// True when this gateway is among the first that may watch.
-    fn is_relay(&self, own: StoreContact, peers: &[RelayPeer]) -> bool {
-        let may_watch = |peer: &&RelayPeer| peer.contact != StoreContact::Lost;
-        let own_rank = rank(&self.own);
+    /// True when this gateway is among the first candidates for relays.
+    fn is_relay(&self, own_contact: StoreContact, peers: &[RelayPeer]) -> bool {
+        let is_candidate = |peer: &&RelayPeer| peer.contact != StoreContact::Lost;
+        let own_rank = rank(&self.own_name);
         let before =
-            peers.iter().filter(may_watch).filter(|peer| rank(&peer.name) < own_rank).count();
-        own != StoreContact::Lost && before < self.cfg.relays(peers.len() + 1)
+            peers.iter().filter(is_candidate).filter(|peer| rank(&peer.name) < own_rank).count();
+        own_contact != StoreContact::Lost && before < self.cfg.relays(peers.len() + 1)
     }
 
-    /// Peers that watch, in the order in which relays are chosen.
+    /// Peers that watch the store, in the order of selection.
     fn watching(&self, peers: &[RelayPeer]) -> Vec<Arc<str>> {
         let watch = |peer: &&RelayPeer| peer.contact == StoreContact::Watching;
         let mut names: Vec<Arc<str>> =
@@ -187,24 +195,25 @@
         names
     }
 
-    /// True when this gateway, while it passes changes on, tells `listener` of them: with `watching`, it is
-    /// one of the first relays in rendezvous order for that gateway.
+    /// True when this gateway, while it forwards changes, forwards them to `listener`: it is among
+    /// the first of the relays (itself and `watching`) in rendezvous order for that gateway.
     ///
     /// ```
     /// use bulrushusher_forward::{Relays, RelaysConfig};
     /// let names = ["entry-1", "entry-2", "entry-3", "entry-4"];
     /// let tells = |own: &str| {
-    ///     let others: Vec<_> = names.iter().filter(|it| **it != own).map(|it| (*it).into()).collect();
+    ///     let others = names.iter().filter(|it| **it != own);
+    ///     let others: Vec<_> = others.map(|it| (*it).into()).collect();
     ///     Relays::new(RelaysConfig::default(), own.into()).tells(&others, "entry-9")
     /// };
     /// assert_eq!(names.iter().filter(|name| tells(name)).count(), 2);
     /// ```
     pub fn tells(&self, watching: &[Arc<str>], listener: &str) -> bool {
-        is_among_first(self.cfg.tellers, listener, &self.own, watching.iter().map(|it| &**it))
+        is_among_first(self.cfg.tellers, listener, &self.own_name, watching.iter().map(|it| &**it))
     }
 }
 
-/// Place of a gateway in the order in which relays are chosen.
+/// Sort key of a gateway in the selection of relays.
 fn rank(name: &str) -> (u64, &str) {
     (xxh3_64(name.as_bytes()), name)
 }
--- a/crates/bulrushusher_forward/src/rendezvous.rs
+++ b/crates/bulrushusher_forward/src/rendezvous.rs
@@ -1,10 +1,10 @@
-//! Which gateways come first for something: all that know the same gateways find the same ones.
+//! Rendezvous hashing: gateways that know the same peers agree on who comes first for a key.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// True when fewer than `most` of the `others` come before `own` in rendezvous order for `key`.
+/// True when fewer than `count` of the `others` precede `own` in rendezvous order for `key`.
 pub(crate) fn is_among_first<'a>(
-    most: usize,
+    count: usize,
     key: &str,
     own: &str,
     others: impl Iterator<Item = &'a str>,
@@ -12,5 +12,5 @@
     let seed = xxh3_64_with_seed(key.as_bytes(), 0);
     let rank = |gateway: &str| xxh3_64_with_seed(gateway.as_bytes(), seed);
     let own = rank(own);
-    others.filter(|other| rank(other) > own).take(most).count() < most
+    others.filter(|other| rank(other) > own).take(count).count() < count
 }
