--- a/crates/bulrushusher_forward/src/members.rs
+++ b/crates/bulrushusher_forward/src/members.rs
@@ -1,4 +1,4 @@
-//! Which runners are known, and what a gap in the store's answers does to that knowledge.
+//! Directory of known runners, and how it treats lapsed entries around a store outage.
 
 use std::collections::HashMap;
 
@@ -9,56 +9,58 @@
 
 use crate::{Born, Runner, StartNews, Starts};
 
-/// Bounds of the knowledge of runners.
+/// Time limits of the runner directory.
 #[derive(Clone, Copy, Debug)]
 pub struct MembersConfig {
-    /// Silence of the store after which entries may have lapsed without their runner ending.
+    /// Store silence after which entries may have lapsed although their runners are alive.
     pub outage_after: Millis,
-    /// How long a lapsed entry is still used once the store answers again.
+    /// How long a lapsed entry stays usable once the store answers again.
     pub return_grace: Millis,
 }
 
 impl Default for MembersConfig {
-    /// The platform promises that entries of living runners are back two seconds after the store;
-    /// entries lapse after three missed heartbeats, so a shorter silence lapses none.
+    /// The platform guarantees that entries of live runners are back within two seconds after the
+    /// store returns. Entries lapse after three missed heartbeats, so a shorter silence lapses
+    /// none.
     fn default() -> MembersConfig {
         MembersConfig { outage_after: Millis(1_500), return_grace: Millis(2_000) }
     }
 }
 
-/// How long a removed entry is remembered: a store comes back from a copy that is some seconds old.
-const REMOVED_KEPT: Millis = Millis(60_000);
+/// How long the removal of an entry is remembered. A store can be restored from a backup that is
+/// some seconds old and still contains the entry.
+const REMOVAL_TTL: Millis = Millis(60_000);
 
-/// How long a drain notice is remembered of a runner that is listed no more: longer than gateways tell
-/// each other of it, so that none is new again to whoever has forgotten it.
-const NOTICE_KEPT: Millis = Millis(2 * REMOVED_KEPT.0);
+/// How long a drain notice is kept for a runner that is no longer listed. Gateways stop passing it
+/// on earlier than that, so a gateway that has dropped it does not receive it as new.
+const DRAIN_NOTICE_TTL: Millis = Millis(2 * REMOVAL_TTL.0);
 
-/// Whether the list still names a runner.
+/// Whether the store's list still contains a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
+enum Listing {
     Listed,
-    /// Gone from the list around an outage of the store; used until then unless it comes back.
+    /// Missing from the list around a store outage; usable until then unless it is listed again.
     Lapsed {
         until: Millis,
     },
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct Entry {
     runner: Runner,
-    standing: Standing,
+    listing: Listing,
 }
 
-/// What a whole list changed.
+/// Changes made by a full list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListNews {
-    /// Runners that it no longer names.
+    /// Runners that the list no longer contains.
     pub missing: Vec<RunnerId>,
-    /// Runners that started again: what was believed of them is void.
+    /// Runners that restarted; their earlier state is invalid.
     pub started_again: Vec<RunnerId>,
 }
 
-/// The runners that are known.
+/// The known runners.
 ///
 /// ```
 /// use bulrushusher_forward::{Members, MembersConfig, Runner};
@@ -82,36 +84,36 @@
 #[derive(Clone, Debug)]
 pub struct Members {
     cfg: MembersConfig,
-    known: HashMap<RunnerId, Known>,
+    known: HashMap<RunnerId, Entry>,
     starts: Starts,
     last_answer: Option<Millis>,
     last_outage_end: Option<Millis>,
-    listed_once: bool,
-    /// Runners whose entries were removed, and when.
+    was_fully_listed: bool,
+    /// Runners whose entries were removed, with the time of removal.
     removed: HashMap<RunnerId, Millis>,
-    /// True until the first list after the store came back from a copy.
+    /// True until the first full list after the store was restored from a backup.
     is_restored: bool,
-    /// Starts of runners that have said themselves that they leave, and when that was heard.
+    /// Drain notices by runner.
     drain_notices: HashMap<RunnerId, DrainNotice>,
 }
 
-/// A runner's own notice that it leaves, as gateways tell each other.
+/// A runner's drain notice, as gateways pass it on to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainReport {
     /// The runner.
     pub runner: RunnerId,
-    /// The start that said so.
+    /// The start of the runner that sent the notice.
     pub born: Option<Born>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct DrainNotice {
     born: Option<Born>,
-    heard_at: Millis,
+    received_at: Millis,
 }
 
 impl Members {
-    /// No runner is known yet.
+    /// Creates an empty directory.
     pub fn new(cfg: MembersConfig) -> Members {
         Members {
             cfg,
@@ -119,16 +121,16 @@
             starts: Starts::default(),
             last_answer: None,
             last_outage_end: None,
-            listed_once: false,
+            was_fully_listed: false,
             removed: HashMap::new(),
             is_restored: false,
             drain_notices: HashMap::new(),
         }
     }
 
-    /// A start of a runner has said itself that it leaves: it gets no new work from then on, whatever its
-    /// entry says. The entry is written by the same runner, later, and comes by way of a store that may be
-    /// silent or be back from an older copy. Returns whether that is new.
+    /// Records that a start of a runner announced its drain in a response; it gets no new work from
+    /// then on, whatever its store entry says. The runner updates that entry later, and the store
+    /// may be unavailable or restored from an older backup. Returns true when the notice is new.
     pub fn note_leaving(&mut self, report: &DrainReport, now: Millis) -> bool {
         let DrainReport { runner, born } = report;
         if self.starts.is_past(runner, *born) || self.has_said_that_it_leaves(runner, *born) {
@@ -136,47 +138,49 @@
         }
         let known = &self.known;
         self.drain_notices.retain(|id, notice| {
-            known.contains_key(id) || now.since(notice.heard_at) < NOTICE_KEPT
+            known.contains_key(id) || now.since(notice.received_at) < DRAIN_NOTICE_TTL
         });
-        self.drain_notices.insert(runner.clone(), DrainNotice { born: *born, heard_at: now });
+        self.drain_notices.insert(runner.clone(), DrainNotice { born: *born, received_at: now });
         if let Some(known) = self.known.get_mut(runner).filter(|it| it.runner.born == *born) {
             known.runner.leaving = true;
         }
         true
     }
 
-    /// Runners that have said themselves that they leave, for other gateways. Those whose entry has been
-    /// gone for some time are left out.
+    /// Drain notices to pass on to other gateways. Those of runners removed for longer than
+    /// a minute are left out.
     pub fn drain_reports(&self, now: Millis) -> Vec<DrainReport> {
-        let is_told = |id: &RunnerId, notice: &DrainNotice| {
-            self.known.contains_key(id) || now.since(notice.heard_at) < REMOVED_KEPT
+        let is_passed_on = |id: &RunnerId, notice: &DrainNotice| {
+            self.known.contains_key(id) || now.since(notice.received_at) < REMOVAL_TTL
         };
-        let told = self.drain_notices.iter().filter(|(id, notice)| is_told(id, notice));
+        let passed_on = self.drain_notices.iter().filter(|(id, notice)| is_passed_on(id, notice));
         let mut reports: Vec<DrainReport> =
-            told.map(|(id, it)| DrainReport { runner: id.clone(), born: it.born }).collect();
+            passed_on.map(|(id, it)| DrainReport { runner: id.clone(), born: it.born }).collect();
         reports.sort_unstable_by(|a, b| a.runner.cmp(&b.runner));
         reports
     }
 
-    /// True when that start of the runner has said itself that it leaves.
+    /// True when this start of the runner sent a drain notice.
     pub fn has_said_that_it_leaves(&self, id: &RunnerId, born: Option<Born>) -> bool {
         self.drain_notices.get(id).is_some_and(|notice| notice.born == born)
     }
 
-    /// The store came back from an older copy. Entries that the copy has not are written again, as after
-    /// an outage; what the copy shows of runners that leave or are gone is old.
+    /// Records that the store was restored from an older backup. Entries missing from the backup
+    /// are rewritten by their runners, as after an outage; entries in it may be outdated, for
+    /// runners that have since begun to drain or have been removed.
     pub fn note_restore(&mut self, now: Millis) {
         self.last_outage_end = Some(now);
         self.is_restored = true;
     }
 
-    /// The store answered a call. Returns how long it had been silent when that was an outage.
+    /// Records an answer of the store; returns the length of the silence before it if that was an
+    /// outage.
     pub fn store_answered(&mut self, now: Millis) -> Option<Millis> {
         self.store_answered_after(Millis(0), now)
     }
 
-    /// The same for a call that asked the store to wait for up to `wait` until something changes: no
-    /// answer was due before.
+    /// Like [`Members::store_answered`], for a long poll of up to `wait`, during which no answer
+    /// was due.
     ///
     /// ```
     /// use bulrushusher_forward::{Members, MembersConfig};
@@ -196,65 +200,65 @@
         outage
     }
 
-    /// The store is asked from now on: the time before was no silence of its.
+    /// Starts measuring the store's silence: this gateway sent it no requests before `now`.
     pub fn begin_asking(&mut self, now: Millis) {
         self.last_answer = Some(now);
     }
 
-    /// A relay tells that the store was back from an outage at that moment.
+    /// Records the end of a store outage that a relay reported.
     pub fn note_outage_end(&mut self, at: Millis) {
         self.last_outage_end = self.last_outage_end.max(Some(at));
     }
 
-    /// Time since an outage by which entries may still have lapsed.
+    /// Time since the end of an outage, while entries may still be missing because of it.
     pub fn outage_age(&self, now: Millis) -> Option<Millis> {
         let age = self.last_outage_end.map(|end| now.since(end));
         age.filter(|age| *age < self.cfg.return_grace)
     }
 
-    /// True when the runner's entry is listed and says just this.
+    /// True when the store lists the runner with exactly this entry.
     pub fn is_listed_as(&self, runner: &Runner) -> bool {
         let known = self.known.get(&runner.id);
-        known.is_some_and(|it| it.standing == Standing::Listed && it.runner == *runner)
+        known.is_some_and(|it| it.listing == Listing::Listed && it.runner == *runner)
     }
 
-    /// True once some entries are known, be it the first page of a list.
+    /// True once any entries are known, even if only the first page of a list.
     pub fn is_begun(&self) -> bool {
-        self.listed_once || !self.known.is_empty()
+        self.was_fully_listed || !self.known.is_empty()
     }
 
-    /// True once a whole list was taken in.
+    /// True once a full list was applied.
     pub fn is_complete(&self) -> bool {
-        self.listed_once
+        self.was_fully_listed
     }
 
-    /// Takes in a whole list.
+    /// Replaces the directory by a full list.
     pub fn replace_all(&mut self, mut runners: Vec<Runner>, now: Millis) -> ListNews {
         if std::mem::take(&mut self.is_restored) {
-            self.correct_copy(&mut runners, now);
+            self.correct_restored_list(&mut runners, now);
         }
-        let named: HashMap<RunnerId, Runner> =
+        let listed: HashMap<RunnerId, Runner> =
             runners.into_iter().map(|r| (r.id.clone(), r)).collect();
         let missing: Vec<RunnerId> =
-            self.known.keys().filter(|id| !named.contains_key(*id)).cloned().collect();
+            self.known.keys().filter(|id| !listed.contains_key(*id)).cloned().collect();
         for id in &missing {
             self.remove(id, now);
         }
         let mut started_again = Vec::new();
-        for (id, runner) in named {
+        for (id, runner) in listed {
             if self.put(runner) == StartNews::Later {
                 started_again.push(id);
             }
         }
-        self.listed_once = true;
+        self.was_fully_listed = true;
         ListNews { missing, started_again }
     }
 
-    /// Takes out of an older list what is known to be over: a runner that is gone comes back by its own
-    /// word only, and one that leaves leaves.
-    fn correct_copy(&self, runners: &mut Vec<Runner>, now: Millis) {
+    /// Corrects a list from a restored backup: a removed runner comes back only by registering
+    /// again, and a draining one stays draining.
+    fn correct_restored_list(&self, runners: &mut Vec<Runner>, now: Millis) {
         let is_gone =
-            |id: &RunnerId| self.removed.get(id).is_some_and(|at| now.since(*at) < REMOVED_KEPT);
+            |id: &RunnerId| self.removed.get(id).is_some_and(|at| now.since(*at) < REMOVAL_TTL);
         runners.retain(|runner| !is_gone(&runner.id));
         for runner in runners {
             let known = self.known.get(&runner.id).map(|known| &known.runner);
@@ -263,77 +267,77 @@
         }
     }
 
-    /// Takes in one entry. One of an earlier start than is known changes nothing; one without a
-    /// start, of a runner that told its start before, is another writer's and names no runner to
-    /// use.
+    /// Applies one entry. An entry of an earlier start is ignored. An entry without a start time,
+    /// for a runner that has reported one, was not written by that runner and makes it unusable.
     pub fn put(&mut self, mut runner: Runner) -> StartNews {
-        let news = self.starts.note(&runner.id, runner.born);
-        match news {
+        let status = self.starts.note(&runner.id, runner.born);
+        match status {
             StartNews::Earlier => {}
             StartNews::Untold => self.forget(&runner.id),
             StartNews::Same | StartNews::Later => {
-                self.forget_former_tenant(&runner);
+                self.remove_lapsed_at_address(&runner);
                 self.removed.remove(&runner.id);
                 runner.leaving |= self.has_said_that_it_leaves(&runner.id, runner.born);
-                let known = Known { runner, standing: Standing::Listed };
+                let known = Entry { runner, listing: Listing::Listed };
                 self.known.insert(known.runner.id.clone(), known);
             }
         }
-        news
+        status
     }
 
-    /// A runner told its start itself, before its entry does.
+    /// Records a start time that the runner reported itself, possibly before its entry shows it.
     pub fn note_start(&mut self, id: &RunnerId, born: Option<Born>) -> StartNews {
-        let news = self.starts.note(id, born);
-        if let (StartNews::Later, Some(known)) = (news, self.known.get_mut(id)) {
+        let status = self.starts.note(id, born);
+        if let (StartNews::Later, Some(known)) = (status, self.known.get_mut(id)) {
             known.runner.born = born;
         }
-        news
+        status
     }
 
-    /// True when a later start under the identity of `runner` is known: holds, KV caches and runs
-    /// there are gone.
+    /// True when a later start under the identity of `runner` is known; memory holds, KV caches and
+    /// runs of the earlier one are lost.
     pub fn is_past(&self, runner: &Runner) -> bool {
         self.starts.is_past(&runner.id, runner.born)
     }
 
-    /// An address belongs to the runner that was listed there last.
-    fn forget_former_tenant(&mut self, runner: &Runner) {
+    /// Drops lapsed runners at the same address: it now belongs to the runner listed last.
+    fn remove_lapsed_at_address(&mut self, runner: &Runner) {
         self.known.retain(|id, known| {
             *id == runner.id
-                || known.standing == Standing::Listed
+                || known.listing == Listing::Listed
                 || known.runner.address != runner.address
         });
     }
 
-    /// An entry was removed. Around an outage of the store its runner may live on.
+    /// Records the removal of an entry. Around a store outage the runner may still be alive, so its
+    /// entry only lapses.
     pub fn remove(&mut self, id: &RunnerId, now: Millis) {
         let until = self.last_outage_end.map(|end| end.plus(self.cfg.return_grace));
         match until {
             Some(until) if now < until => {
                 if let Some(known) = self.known.get_mut(id) {
-                    known.standing = Standing::Lapsed { until };
+                    known.listing = Listing::Lapsed { until };
                 }
             }
             _ => {
                 self.known.remove(id);
-                self.removed.retain(|_, at| now.since(*at) < REMOVED_KEPT);
+                self.removed.retain(|_, at| now.since(*at) < REMOVAL_TTL);
                 self.removed.insert(id.clone(), now);
             }
         }
     }
 
-    /// A runner was told, or is known, to be gone for good.
+    /// Drops a runner that is known to be gone.
     pub fn forget(&mut self, id: &RunnerId) {
         self.known.remove(id);
     }
 
-    /// The runner of that identity, if it may still be used.
+    /// The runner with that identity, if it is usable.
     pub fn get(&self, id: &RunnerId, now: Millis) -> Option<&Runner> {
         self.known.get(id).filter(|known| known.is_usable(now)).map(|known| &known.runner)
     }
 
-    /// Runners of a service that take new work.
+    /// Usable runners of a service that accept new work.
     pub fn usable<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -346,17 +350,17 @@
             .filter(|runner| !runner.leaving)
     }
 
-    /// All runners known, also leaving ones.
+    /// All usable runners, including draining ones.
     pub fn all(&self, now: Millis) -> impl Iterator<Item = &Runner> {
         self.known.values().filter(move |known| known.is_usable(now)).map(|known| &known.runner)
     }
 }
 
-impl Known {
+impl Entry {
     fn is_usable(&self, now: Millis) -> bool {
-        match self.standing {
-            Standing::Listed => true,
-            Standing::Lapsed { until } => now < until,
+        match self.listing {
+            Listing::Listed => true,
+            Listing::Lapsed { until } => now < until,
         }
     }
 }
--- a/crates/bulrushusher_forward/src/runner.rs
+++ b/crates/bulrushusher_forward/src/runner.rs
@@ -6,7 +6,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Which half of a generation a model runner does.
+/// The stage of a generation that a model runner serves.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Stage {
     /// Computes the KV cache of prompts.
@@ -17,10 +17,10 @@
     Decode,
 }
 
-/// When a runner's process started, in Unix ms, by its own word.
+/// Start time of a runner's process in Unix ms, as the runner reports it.
 ///
-/// A runner may start again under the identity that it had. It then holds and knows nothing of
-/// before, and only this tells the two starts apart: the later one is higher.
+/// A runner may restart under the same identity. It then has lost all holds, KV caches and runs;
+/// only the start time, which is higher for the later start, tells the two apart.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -29,20 +29,20 @@
 /// One start of a runner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Runner {
-    /// Its identity, which a later start may have again.
+    /// Its identity; a later start may have the same.
     pub id: RunnerId,
-    /// When it started; `None` where runners do not say, and have a new identity at each start.
+    /// Its start time; `None` for runners that report none and get a new identity at each start.
     pub born: Option<Born>,
-    /// The service it belongs to.
+    /// Its service.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Its data centre.
     pub data_centre: DataCentreName,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Its half of a generation; `None` for a plain service.
+    /// Its stage; `None` for a service without model stages.
     pub stage: Option<Stage>,
-    /// True when it must get no new work.
+    /// True while it drains and must get no new work.
     pub leaving: bool,
 }
--- a/crates/bulrushusher_forward/src/signals.rs
+++ b/crates/bulrushusher_forward/src/signals.rs
@@ -1,18 +1,18 @@
-//! Back-pressure that a runner signals in its answers.
+//! Back-pressure signals in the answers of runners.
 
 use bulrushusher_time::Millis;
 
 use crate::RateLimit;
 
-/// The back-pressure signals of one answer of a runner.
+/// The back-pressure signals in one answer of a runner.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RunnerSignals {
-    /// Requests a second from all gateways together; `None` while it names no limit.
+    /// Limit in requests a second, for all gateways together; `None` if the answer names none.
     pub rate_limit: Option<RateLimit>,
-    /// True when it leaves and takes no new work.
+    /// True when the runner drains and accepts no new work.
     pub leaving: bool,
-    /// How long it wants nothing from the gateway that it refused.
+    /// How long the refused gateway should send nothing to the runner.
     pub retry_after: Option<Millis>,
-    /// True when it asks for something that cannot be read, and that changes nothing.
+    /// True when the answer has a signal that cannot be parsed; that signal is ignored.
     pub unreadable: bool,
 }
--- a/crates/bulrushusher_forward/src/starts.rs
+++ b/crates/bulrushusher_forward/src/starts.rs
@@ -1,4 +1,4 @@
-//! Which start of each runner is the last one that is known.
+//! The latest known start time of each runner.
 
 use std::collections::HashMap;
 
@@ -6,25 +6,26 @@
 
 use crate::Born;
 
-/// Runners whose last start is remembered, also when they are no longer listed: an entry of an
-/// earlier start may come late. A fleet of 2,700 runners of which a third is replaced in a day
-/// stays below it for weeks; beyond, all are forgotten at once and learned anew.
-const MOST_REMEMBERED: usize = 65_536;
+/// Maximum number of runners whose start is remembered. They stay after removal from the list,
+/// because an entry of an earlier start may arrive late. A fleet of 2,700 runners that replaces a
+/// third of them per day stays below this for weeks; beyond it all are dropped and learned again.
+const MAX_RUNNERS: usize = 65_536;
 
-/// What is learned of a runner's start.
+/// How a reported start compares with the latest known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartNews {
-    /// The start that is known, or the first that is heard of.
+    /// It is the latest known start, or the first one reported.
     Same,
-    /// A later start than the one known: what is believed of the runner is void.
+    /// It is later than the latest known start; all earlier state of the runner is invalid.
     Later,
-    /// An earlier start than the one known; it must change nothing.
+    /// It is earlier than the latest known start and must be ignored.
     Earlier,
-    /// No start, of a runner that has told one before: these are not its own words.
+    /// No start is given although the runner has reported one before, so the statement is not the
+    /// runner's own.
     Untold,
 }
 
-/// The last known start of each runner that tells one.
+/// The latest known start of each runner that reports one.
 ///
 /// ```
 /// use bulrushusher_forward::{Born, StartNews, Starts};
@@ -42,7 +43,7 @@
 }
 
 impl Starts {
-    /// Takes in what was said of a runner's start.
+    /// Records a reported start.
     pub fn note(&mut self, id: &RunnerId, born: Option<Born>) -> StartNews {
         let known = self.last.get(id).copied();
         let Some(born) = born else {
@@ -51,7 +52,7 @@
         if known.is_some_and(|known| born < known) {
             return StartNews::Earlier;
         }
-        if self.last.len() >= MOST_REMEMBERED && known.is_none() {
+        if self.last.len() >= MAX_RUNNERS && known.is_none() {
             self.last.clear();
         }
         self.last.insert(id.clone(), born);
@@ -66,12 +67,12 @@
         self.last.get(id).is_some_and(|last| Some(*last) > born)
     }
 
-    /// True while no runner has told a start.
+    /// True while no runner has reported a start.
     pub fn is_empty(&self) -> bool {
         self.last.is_empty()
     }
 
-    /// The last known start of a runner.
+    /// The latest known start of a runner.
     pub fn last(&self, id: &RunnerId) -> Option<Born> {
         self.last.get(id).copied()
     }
