--- a/crates/bulrushusher_forward/src/lib.rs
+++ b/crates/bulrushusher_forward/src/lib.rs
@@ -1,17 +1,17 @@
-//! Decisions for forwarded requests, whatever protocol they came by.
+//! Decisions for forwarded requests, independent of the protocol by which they arrived.
 //!
-//! A forwarded request has an opaque body and goes to a runner unchanged. This crate decides which
-//! route and runner it takes, whether it waits or is refused, how much decode memory is held for
-//! it, what may follow a failed attempt, and what a stopping process still accepts. Nothing here
-//! does I/O or reads a clock; callers hand in [`bulrushusher_time::Millis`] and random draws.
+//! A forwarded request has an opaque body and is sent to a runner unchanged. This crate decides on
+//! its route and runner, on waiting or refusal, on the decode memory to reserve, on retries after a
+//! failed attempt, and on what a process still accepts during shutdown. Nothing here does I/O or
+//! reads a clock; callers pass in [`bulrushusher_time::Millis`] and random draws.
 
 mod back_pressure;
+mod by_runner;
 mod choose;
 mod events;
 mod forecast;
 mod gateways;
 mod health;
-mod heard;
 mod limit_share;
 mod load;
 mod members;
@@ -21,6 +21,7 @@
 mod normal;
 mod pace;
 mod pauses;
+mod peer_state;
 mod rate_limit;
 mod read_pace;
 mod reading;
@@ -40,7 +41,6 @@
 mod signals;
 mod stages;
 mod starts;
-mod told;
 mod waiting;
 
 pub use back_pressure::{
@@ -83,7 +83,7 @@
 pub use starts::{StartNews, Starts};
 pub use waiting::{Claim, LineOrder, Rank, WaitingConfig, WaitingLine, asks_now};
 
-/// The common types in one `use`.
+/// The most common types.
 pub mod prelude {
     pub use crate::{
         AttemptEnd, AttemptPlan, Members, NextStep, PromptSize, RequestId, Route, RouteKind,
--- /dev/null
+++ b/crates/bulrushusher_forward/src/peer_state.rs
@@ -0,0 +1,83 @@
+//! State of peers other than their runs: store contact, waiting generations, failing runners.
+
+use std::collections::BTreeMap;
+
+use bulrushusher_time::Millis;
+use bulrushusher_world::RunnerId;
+
+use crate::runs::Peer;
+use crate::{GatewayReport, NewsSeen, RelayPeer, RunCounts, Runs};
+
+impl Runs {
+    /// Number of peers whose last message is recent.
+    pub fn peers(&self, now: Millis) -> usize {
+        self.live_peers(now).count()
+    }
+
+    /// Store contact of the peers heard within the duration `within`.
+    pub fn relay_peers(&self, within: Millis, now: Millis) -> Vec<RelayPeer> {
+        let is_recent = |peer: &Peer| {
+            self.last_message.get(&peer.number).is_some_and(|at| now.since(*at) < within)
+        };
+        let recent = self.peers.iter().filter(|(_, peer)| is_recent(peer));
+        recent
+            .map(|(name, peer)| RelayPeer { name: name.clone(), contact: peer.report.contact })
+            .collect()
+    }
+
+    /// Latest store revisions seen by one peer.
+    pub fn news_of(&self, peer: &str) -> NewsSeen {
+        self.peers.get(peer).map(|peer| peer.report.news).unwrap_or_default()
+    }
+
+    /// Latest store revisions seen by any live peer.
+    pub fn news_of_peers(&self, now: Millis) -> NewsSeen {
+        self.live_peers(now).fold(NewsSeen::default(), |seen, peer| seen.max(peer.report.news))
+    }
+
+    /// True while a peer has a waiting generation that can still meet its target.
+    pub fn peers_wait_on_time(&self, now: Millis) -> bool {
+        self.live_peers(now).any(|peer| peer.report.waiting > 0)
+    }
+
+    /// Number of peers with waiting generations, late ones included.
+    pub fn peers_that_wait(&self, now: Millis) -> usize {
+        let waits = |report: &GatewayReport| report.waiting + report.waiting_late > 0;
+        self.live_peers(now).filter(|peer| waits(&peer.report)).count()
+    }
+
+    /// Prompt tokens that peers have in flight at a prefill runner.
+    pub fn reads_of_peers(&self, runner: &RunnerId, now: Millis) -> u64 {
+        let reads = self.by_runner.get(runner).map(|state| state.reads.as_slice());
+        self.reported_by_live_peers(reads, now).map(|reported| reported.value).sum()
+    }
+
+    /// True while a peer reports that the runner is switching its stage.
+    pub fn is_changing(&self, runner: &RunnerId, now: Millis) -> bool {
+        let changing = self.by_runner.get(runner).map(|state| state.changing.as_slice());
+        self.reported_by_live_peers(changing, now).next().is_some()
+    }
+
+    /// True while enough peers report the runner as unreachable. Two are required, so that a single
+    /// partitioned peer cannot take all runners out of use; one is enough when it is the only peer.
+    pub fn is_silent_at_peers(&self, runner: &RunnerId, now: Millis) -> bool {
+        let silent = self.by_runner.get(runner).map(|state| state.silent.as_slice());
+        match self.reported_by_live_peers(silent, now).take(2).count() {
+            0 => false,
+            1 => self.peers(now) == 1,
+            _ => true,
+        }
+    }
+
+    /// Success and failure counts of failing runners, summed over all live peers.
+    pub fn failing_at_peers(&self, now: Millis) -> BTreeMap<RunnerId, RunCounts> {
+        let mut sums: BTreeMap<RunnerId, RunCounts> = BTreeMap::new();
+        for counts in self.live_peers(now).flat_map(|peer| &peer.report.failing) {
+            let empty = || RunCounts { runner: counts.runner.clone(), good: 0.0, bad: 0.0 };
+            let sum = sums.entry(counts.runner.clone()).or_insert_with(empty);
+            sum.good += counts.good;
+            sum.bad += counts.bad;
+        }
+        sums
+    }
+}
--- a/crates/bulrushusher_forward/src/report.rs
+++ b/crates/bulrushusher_forward/src/report.rs
@@ -1,4 +1,4 @@
-//! What gateways tell each other of their runs: whole reports, and what changed since the last one.
+//! Reports between gateways: full reports of a gateway's state, and deltas between two reports.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,32 +8,33 @@
 
 use crate::{Born, DrainReport, LimitReport, NewsSeen, RunCounts, RunShape, Starts, StoreContact};
 
-/// One run, as gateways tell each other.
+/// One run in a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunNote {
-    /// Tells it apart from other runs of its gateway; 0 before memory is held for it.
+    /// Identifies the run within its gateway; 0 before memory is reserved for it.
     pub number: u64,
     /// The decode runner.
     pub runner: RunnerId,
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub prompt: u64,
-    /// Tokens generated when this was written.
+    /// Tokens generated when the report was written.
     pub made: u64,
-    /// Tokens that it had when it came to this runner: more than none after a move.
+    /// Tokens already generated when the run last joined its runner's batch; above zero after a
+    /// move or a preemption.
     pub made_before: u64,
-    /// Tokens that the caller expects.
+    /// Output tokens expected by the caller.
     pub expected: u64,
-    /// The most tokens that may be generated.
+    /// Maximum output tokens.
     pub most: u64,
-    /// True while it generates; before, memory is held and the prompt is read, and a run that its
-    /// engine has preempted waits.
+    /// True while the run generates. False while only memory is reserved, while the prompt is being
+    /// processed, and while the run is preempted.
     pub begun: bool,
-    /// True when its runner reads the prompt itself.
+    /// True when the decode runner prefills the prompt itself.
     pub reads_itself: bool,
 }
 
 impl RunNote {
-    /// A run for which memory is held.
+    /// A run for which memory has been reserved.
     pub fn new(runner: RunnerId, shape: RunShape) -> RunNote {
         RunNote {
             number: 0,
@@ -48,12 +49,12 @@
         }
     }
 
-    /// What the run needs of memory.
+    /// Memory shape of the run.
     pub fn shape(&self) -> RunShape {
         self.shape_after(0.0)
     }
 
-    /// The same after it made `grown` tokens more.
+    /// Memory shape after `grown` more tokens.
     pub(crate) fn shape_after(&self, grown: f64) -> RunShape {
         let most = self.most as f64;
         RunShape {
@@ -64,105 +65,105 @@
         }
     }
 
-    /// Tokens that it has made at this runner.
-    pub(crate) fn made_here(&self) -> u64 {
+    /// Tokens generated since the run last joined its runner's batch.
+    pub(crate) fn generated_since_join(&self) -> u64 {
         self.made.saturating_sub(self.made_before)
     }
 
-    /// True when it is where and what it was, whatever it has made meanwhile: those who hear of it
-    /// reckon that themselves.
-    fn is_as_before(&self, before: &RunNote) -> bool {
+    /// True when nothing but the number of generated tokens differs from `before`; receivers
+    /// extrapolate that number themselves.
+    fn is_unchanged_since(&self, before: &RunNote) -> bool {
         RunNote { made: before.made, ..self.clone() } == *before
     }
 }
 
-/// What one gateway tells its peers.
+/// State that a gateway reports to its peers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GatewayReport {
-    /// Start of the gateway that tells, Unix time in ms; a later one replaces an earlier one.
+    /// Start of the reporting gateway in Unix ms; a later start supersedes an earlier one.
     pub life: u64,
-    /// Counts its reports; one that arrives behind a later one is dropped.
+    /// Sequence number of the report; a report that arrives after a later one is dropped.
     pub number: u64,
-    /// Its generations that wait for memory and can still be on time.
+    /// Generations that wait for memory and can still meet their target.
     pub waiting: u32,
-    /// Those that wait and are late already.
+    /// Generations that wait for memory and are already late.
     pub waiting_late: u32,
-    /// Its runs.
+    /// The gateway's runs.
     pub runs: Vec<RunNote>,
-    /// Prompt tokens that it has at prefill runners.
+    /// Prompt tokens that the gateway has in flight at prefill runners.
     pub reads: Vec<(RunnerId, u64)>,
-    /// Runners that change their stage by its orders, or by others' that it knows of.
+    /// Runners that are switching stage by an order of this gateway, or of others known to it.
     pub changing: Vec<RunnerId>,
-    /// How runs ended at runners that fail some.
+    /// Success and failure counts of runners with failed runs.
     pub failing: Vec<RunCounts>,
-    /// Runners that it could not reach lately.
+    /// Runners that the gateway recently failed to reach.
     pub silent: Vec<RunnerId>,
-    /// Changes of the store that it knows.
+    /// Latest store revisions that the gateway has seen.
     pub news: NewsSeen,
-    /// What it has with the store.
+    /// The gateway's contact with the store.
     pub contact: StoreContact,
-    /// What client accounts used of their quotas there.
+    /// Quota that client accounts have used at the gateway.
     pub spends: Spends,
-    /// Rate limits that runners name.
+    /// Rate limits that runners requested.
     pub limits: Vec<LimitReport>,
-    /// Runners that have said themselves that they leave.
+    /// Drain notices of runners.
     pub leaving: Vec<DrainReport>,
-    /// The starts of the runners that this report speaks of, where runners tell them. What it says
-    /// of an earlier start than the hearer knows does not count.
+    /// Start times of the runners in this report, for runners that report one. The receiver ignores
+    /// statements about an earlier start than it knows.
     pub starts: BTreeMap<RunnerId, Born>,
 }
 
 impl GatewayReport {
-    /// Adds the starts of the runners that it speaks of, as far as they are known.
+    /// Adds the known start times of the runners in this report.
     pub fn add_starts(&mut self, starts: &Starts) {
-        let known = self.spoken_of().filter_map(|id| Some((id.clone(), starts.last(id)?)));
+        let known = self.mentioned_runners().filter_map(|id| Some((id.clone(), starts.last(id)?)));
         self.starts = known.collect();
     }
 
-    /// The runners whose runs, readings or state it tells; one may come several times.
+    /// The runners that have runs, prefills or state in this report, possibly with duplicates.
     pub(crate) fn runners(&self) -> impl Iterator<Item = &RunnerId> {
         let runs = self.runs.iter().map(|note| &note.runner);
         let reads = self.reads.iter().map(|(runner, _)| runner);
         runs.chain(reads).chain(&self.changing).chain(&self.silent)
     }
 
-    /// All runners that it speaks of.
-    fn spoken_of(&self) -> impl Iterator<Item = &RunnerId> {
+    /// All runners in this report, including those with failure counts only.
+    fn mentioned_runners(&self) -> impl Iterator<Item = &RunnerId> {
         self.runners().chain(self.failing.iter().map(|counts| &counts.runner))
     }
 
-    /// True when it says anything of the runner.
-    pub(crate) fn speaks_of(&self, runner: &RunnerId) -> bool {
-        self.spoken_of().any(|spoken_of| spoken_of == runner)
+    /// True when the report contains the runner.
+    pub(crate) fn mentions(&self, runner: &RunnerId) -> bool {
+        self.mentioned_runners().any(|mentioned| mentioned == runner)
     }
 
-    /// The runs that are new or other than `before`, and those of then that are over.
-    pub(crate) fn differences<'a>(
+    /// Runs that are new or differ from `before`, and runs of `before` that have ended.
+    pub(crate) fn diff<'a>(
         &'a self,
         before: &'a GatewayReport,
     ) -> (Vec<&'a RunNote>, Vec<&'a RunNote>) {
         let mut known: HashMap<u64, &RunNote> =
             before.runs.iter().map(|note| (note.number, note)).collect();
-        let is_other = |note: &&RunNote| {
+        let is_changed = |note: &&RunNote| {
             let before = known.remove(&note.number);
-            !before.is_some_and(|before| note.is_as_before(before))
+            !before.is_some_and(|before| note.is_unchanged_since(before))
         };
-        let changed = self.runs.iter().filter(is_other).collect();
+        let changed = self.runs.iter().filter(is_changed).collect();
         (changed, known.into_values().collect())
     }
 
-    /// Drops what it says of runners for which `is_past` holds.
-    pub(crate) fn drop_past(&mut self, is_past: impl Fn(&RunnerId) -> bool) {
-        self.runs.retain(|note| !is_past(&note.runner));
-        self.reads.retain(|(runner, _)| !is_past(runner));
-        self.changing.retain(|runner| !is_past(runner));
-        self.failing.retain(|counts| !is_past(&counts.runner));
-        self.silent.retain(|runner| !is_past(runner));
+    /// Removes the runners for which `matches` returns true.
+    pub(crate) fn remove_runners(&mut self, matches: impl Fn(&RunnerId) -> bool) {
+        self.runs.retain(|note| !matches(&note.runner));
+        self.reads.retain(|(runner, _)| !matches(runner));
+        self.changing.retain(|runner| !matches(runner));
+        self.failing.retain(|counts| !matches(&counts.runner));
+        self.silent.retain(|runner| !matches(runner));
     }
 }
 
-/// What changed since the report before: its runs that are new, went elsewhere, began or stalled, and
-/// the numbers of those that ended. What a run made meanwhile is not told; all else is told whole.
+/// A delta between two consecutive reports: runs that are new, moved, began or stalled, and the
+/// numbers of runs that ended. Progress of runs is omitted; all other fields are sent in full.
 ///
 /// ```
 /// use bulrushusher_forward::{GatewayChanges, GatewayReport, RunNote, RunShape};
@@ -181,23 +182,23 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GatewayChanges {
-    /// The report, of whose runs only those stand here that changed.
+    /// The later report, with changed runs only.
     pub report: GatewayReport,
-    /// Numbers of the runs that are over.
+    /// Numbers of runs that ended.
     pub ended: Vec<u64>,
 }
 
 impl GatewayChanges {
-    /// What changed from one report to the next.
+    /// The delta from one report to the next.
     pub fn between(before: &GatewayReport, now: &GatewayReport) -> GatewayChanges {
-        let (changed, ended) = now.differences(before);
+        let (changed, ended) = now.diff(before);
         let runs = changed.into_iter().cloned().collect();
         let ended = ended.into_iter().map(|note| note.number).collect();
         GatewayChanges { report: GatewayReport { runs, ..now.clone() }, ended }
     }
 
-    /// The runs of which a peer's changes speak.
-    pub(crate) fn speaks_of(&self, number: u64) -> bool {
+    /// True when the delta contains the run.
+    pub(crate) fn mentions(&self, number: u64) -> bool {
         self.ended.contains(&number) || self.report.runs.iter().any(|note| note.number == number)
     }
 }
