--- a/crates/bulrushusher_forward/src/news.rs
+++ b/crates/bulrushusher_forward/src/news.rs
@@ -1,26 +1,26 @@
-//! How fresh a gateway's knowledge of the store is, by what peers tell.
+//! Long-poll duration for store changes, and detection of dead watch connections through peers.
 //!
-//! Gateways that wait for changes on connections of their own hear of one at the same time. So while
-//! many wait, each may wait for long: a connection that has gone silent shows when a peer knows of a
-//! change that it did not bring, and on the whole somebody is answered as often as a gateway alone
-//! would be.
+//! Gateways that watch the store on separate connections learn of a change at about the same
+//! time. A dead connection thus shows when a peer has seen a revision that the connection did not
+//! deliver. The more gateways watch, the longer each long poll may last: together they still get
+//! answers at least as often as a single gateway would.
 
 use bulrushusher_time::Millis;
 use serde::{Deserialize, Serialize};
 
-/// What a gateway knows of the store: the revision of each topic's last change, with its era.
+/// Latest store revisions that a gateway has seen, by topic and including the era.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewsSeen {
-    /// The configuration's last change.
+    /// Revision of the last configuration change.
     pub configuration: u64,
-    /// The last change of a runner's entry.
+    /// Revision of the last change of a runner entry.
     pub runners: u64,
     /// Version of the configuration.
     pub version: u64,
 }
 
 impl NewsSeen {
-    /// The later of both.
+    /// The later revision of each topic.
     #[must_use]
     pub fn max(self, other: NewsSeen) -> NewsSeen {
         NewsSeen {
@@ -31,24 +31,25 @@
     }
 }
 
-/// How long a gateway waits for changes.
+/// Limits of the duration of a long poll.
 #[derive(Clone, Copy, Debug)]
 pub struct NewsConfig {
-    /// Fewest peers that must be heard for a longer wait.
+    /// Minimum number of live peers for a longer poll.
     pub least_peers: usize,
-    /// Answers that all gateways together get in the time that one alone waits.
+    /// Answers that all gateways together get during the poll duration of a single one.
     pub answers_a_wait: f64,
-    /// The longest wait.
+    /// Maximum poll duration.
     pub longest: Millis,
-    /// Time for which a peer may know more before an own connection is taken as silent.
+    /// How long a peer may be ahead before this gateway's own connection counts as dead.
     pub behind_for: Millis,
 }
 
 impl Default for NewsConfig {
-    /// With a peer or two, whoever is cut off together hears nothing. Four answers in the time of
-    /// one: gateways do not wait at even distances. The longest wait bounds what is lost when a
-    /// store is silent for all. Changes reach gateways some tens of milliseconds apart, and after
-    /// each a gateway asks nothing for a twentieth of the time to be in force.
+    /// With one or two peers, all may be behind the same partition. Four answers per poll duration
+    /// allow for polls that are unevenly spread. The maximum bounds the delay when the store is
+    /// silent for all gateways. Changes reach gateways some tens of milliseconds apart, and after
+    /// each change a gateway pauses for a twentieth of the time within which changes must be in
+    /// force.
     fn default() -> NewsConfig {
         NewsConfig {
             least_peers: 3,
@@ -60,7 +61,7 @@
 }
 
 impl NewsConfig {
-    /// How long to wait for changes, while `peers` are heard; one that hears none waits for `alone`.
+    /// Poll duration with `peers` live peers; `alone` is the duration for a gateway without peers.
     ///
     /// ```
     /// use bulrushusher_forward::NewsConfig;
--- a/crates/bulrushusher_forward/src/request.rs
+++ b/crates/bulrushusher_forward/src/request.rs
@@ -1,10 +1,10 @@
-//! What the decisions need to know of a forwarded request.
+//! Properties of a forwarded request that decisions depend on.
 
 use std::sync::Arc;
 
 use derive_more::Display;
 
-/// Identity of one attempt of a caller; a caller that tries again sends another one.
+/// Identity of one attempt of a caller; a caller's retry has a new identity.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(Arc<str>);
 
@@ -24,16 +24,16 @@
 /// Size of a generation, in tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSize {
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub prompt: u64,
-    /// The most tokens that may be generated.
+    /// Maximum output tokens.
     pub most_output: u64,
-    /// The caller's own estimate of the tokens generated, if it gave one.
+    /// Output tokens estimated by the caller, if given.
     pub expected_output: Option<u64>,
 }
 
 impl PromptSize {
-    /// Tokens expected: the caller's estimate, or half of the most.
+    /// Expected output tokens: the caller's estimate, or half of the maximum.
     pub fn expected(&self) -> u64 {
         self.expected_output.unwrap_or(self.most_output / 2).clamp(1, self.most_output.max(1))
     }
--- a/crates/bulrushusher_forward/src/revision.rs
+++ b/crates/bulrushusher_forward/src/revision.rs
@@ -1,14 +1,14 @@
-//! Revisions of a store that may come back from an older copy.
+//! Revisions of a store that may be restored from an older backup.
 //!
-//! Such a store counts its revisions on from the copy's and gives some out again; how often that has
-//! happened is its era. One number of both rises over all of them, so that what was written later is told
-//! by a higher one, and a fencing token made of it is never lower than an earlier one.
+//! A restored store continues from the backup's revision and hands out some revisions again. The
+//! number of restores is the era. A combined revision holds the era in its high bits, so it
+//! increases across restores, and a fencing token derived from it never decreases.
 
-/// Bits of the revision within its era; a thousand writes a second fill them in thirty years. What is above
-/// stays exact in a JSON number for eight thousand eras.
+/// Bits for the revision within an era: at 1,000 writes a second they last thirty years. The
+/// remaining bits keep a combined revision exact as a JSON number for 8,000 eras.
 const NUMBER_BITS: u32 = 40;
 
-/// A revision with its era, as one number.
+/// Combines an era and a revision within it into one number.
 ///
 /// ```
 /// use bulrushusher_forward::{era_of, number_of, revision_in_era};
@@ -22,12 +22,12 @@
     era << NUMBER_BITS | number & ((1 << NUMBER_BITS) - 1)
 }
 
-/// The era of a revision.
+/// The era of a combined revision.
 pub fn era_of(revision: u64) -> u64 {
     revision >> NUMBER_BITS
 }
 
-/// The revision as the store counts it in its era.
+/// The revision within its era, as the store counts it.
 pub fn number_of(revision: u64) -> u64 {
     revision & ((1 << NUMBER_BITS) - 1)
 }
--- a/crates/bulrushusher_forward/src/route.rs
+++ b/crates/bulrushusher_forward/src/route.rs
@@ -1,4 +1,4 @@
-//! The routing configuration in force.
+//! The routing configuration.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// What may be repeated on a route, and how its answers come.
+/// Whether requests of a route may be repeated, and how they are answered.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
     /// A call that may run more than once.
@@ -18,10 +18,10 @@
     /// A call that may run at most once.
     #[display("non-idempotent")]
     NonIdempotent,
-    /// A generation, answered as a series of events.
+    /// A generation, answered as a stream of events.
     #[display("stream")]
     Stream {
-        /// True when another run may go on after the last whole event.
+        /// True when another run may continue after the last complete event.
         resumable: bool,
     },
 }
@@ -37,44 +37,44 @@
     }
 }
 
-/// A service with its share of a route's requests.
+/// A service with its weight on a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
-    /// Its share, relative to the other weights of the route.
+    /// Its share of the route's requests, relative to the other weights.
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Its name.
     pub name: RouteName,
-    /// The host that callers name.
+    /// Host name in the requests.
     pub host: Arc<str>,
-    /// Start of the paths that take this route.
+    /// Path prefix in the requests.
     pub path_start: Arc<str>,
-    /// What may be repeated.
+    /// Whether requests may be repeated, and how they are answered.
     pub kind: RouteKind,
-    /// Where its requests go; not empty.
+    /// Destination services; at least one with a weight above zero.
     pub services: Vec<WeightedService>,
-    /// The longest time a request may take.
+    /// Maximum duration of a request.
     pub timeout: Millis,
-    /// The response-time target.
+    /// Response-time target.
     pub target: Millis,
-    /// The longest pause between two events that is still on time; zero where not given.
+    /// Target for the longest pause between two events; zero if not set.
     pub gap_target: Millis,
-    /// Most runners that one request may run on.
+    /// Maximum number of runners on which one request may run.
     pub most_runners: u32,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// True where requests need no key of a client account.
+    /// True where requests need no API key of a client account.
     pub is_open: bool,
 }
 
 impl Route {
-    /// The service for a random `draw` in `0.0..1.0`, by weight.
+    /// Picks a service by weight, for a random `draw` in `0.0..1.0`.
     pub fn service(&self, draw: f64) -> &ServiceName {
         let total: u32 = self.services.iter().map(|s| s.weight).sum();
         let mut left = draw * f64::from(total);
@@ -84,26 +84,26 @@
                 return &split.service;
             }
         }
-        // Rounding may leave a rest; a service of weight 0 must not get it.
+        // Rounding can leave a remainder; a service of weight 0 must not get it.
         let last = self.services.iter().rev().find(|s| s.weight > 0);
         &last.unwrap_or(&self.services[0]).service
     }
 }
 
-/// What is known of a service's model engine.
+/// Properties of a service's model engine.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Tokens that fit into a runner's memory.
+    /// Memory of a runner, in tokens.
     pub memory_tokens: u64,
-    /// Tokens in one event, at most; at least 1.
+    /// Maximum number of tokens in one event; at least 1.
     pub tokens_per_event: u64,
-    /// How long a runner keeps a KV cache that is not taken.
+    /// How long a runner keeps a KV cache that is not fetched.
     pub kv_kept: Millis,
-    /// The longest lease on decode memory.
+    /// Maximum lease on decode memory.
     pub longest_hold: Millis,
-    /// How long a runner is away when its stage changes.
+    /// How long a runner is unavailable while it switches its stage.
     pub switch_time: Millis,
-    /// True where a run can move to another decode runner with its memory.
+    /// True where a run can move to another decode runner together with its memory.
     pub moves_runs: bool,
 }
 
@@ -112,45 +112,45 @@
 pub struct ServiceSpec {
     /// Its name.
     pub name: ServiceName,
-    /// Connections that one of its runners accepts from all callers.
+    /// Maximum number of connections that one of its runners accepts, from all callers together.
     pub max_connections: u32,
-    /// Its engine, where it serves models.
+    /// Its engine, if it serves models.
     pub engine: Option<EngineSpec>,
 }
 
-/// Bounds on what callers send.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Largest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time from the first byte of a head to its end.
+    /// Maximum time from the first byte of a request head to its end.
     pub header_timeout: Millis,
-    /// Longest time a connection may stay idle.
+    /// Maximum idle time of a connection.
     pub idle_timeout: Millis,
 }
 
-/// Why a routing configuration was not accepted.
+/// Why a routing configuration was rejected.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum RoutingError {
-    /// A route has no service to go to.
-    #[display("route {route} names no service; give it a service or a split")]
+    /// A route has no service with a weight above zero.
+    #[display("route {route} has no service with a weight above zero; add a service or a split")]
     NoService {
         /// The route.
         route: RouteName,
     },
-    /// A route's prefix is not a path.
-    #[display("route {route} has the path prefix `{prefix}`; begin it with a slash")]
+    /// The path prefix of a route does not begin with a slash.
+    #[display("path prefix `{prefix}` of route {route} does not begin with a slash; prepend one")]
     Prefix {
         /// The route.
         route: RouteName,
-        /// Its prefix.
+        /// Its path prefix.
         prefix: String,
     },
 }
 
-/// A checked configuration.
+/// A validated routing configuration.
 ///
 /// ```
 /// use bulrushusher_forward::{CallerLimits, Route, RouteKind, RoutingConfig, WeightedService};
@@ -181,9 +181,9 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct RoutingConfig {
-    /// Its version; a higher one replaces it.
+    /// Its version; a configuration with a higher version replaces it.
     pub version: u64,
-    /// Bounds on what callers send.
+    /// Limits on requests and connections of callers.
     pub limits: CallerLimits,
     routes: HashMap<Arc<str>, Vec<Arc<Route>>>,
     services: HashMap<ServiceName, ServiceSpec>,
@@ -191,7 +191,7 @@
 }
 
 impl RoutingConfig {
-    /// Checks and indexes a configuration.
+    /// Validates and indexes a configuration.
     ///
     /// # Errors
     /// [`RoutingError`] names the first route that cannot be used.
@@ -214,25 +214,25 @@
         Ok(RoutingConfig { version, limits, routes: by_host, services, accounts: None })
     }
 
-    /// The same with client accounts: requests need a key, unless their route is open.
+    /// Adds client accounts: requests then need an API key, except on open routes.
     #[must_use]
     pub fn with_accounts(self, accounts: AccountTable) -> RoutingConfig {
         RoutingConfig { accounts: Some(accounts), ..self }
     }
 
-    /// The client accounts; `None` where callers need no key.
+    /// The client accounts; `None` where callers need no API key.
     pub fn accounts(&self) -> Option<&AccountTable> {
         self.accounts.as_ref()
     }
 
-    /// The route of that host whose prefix is the longest that begins the path.
+    /// The route of the host with the longest prefix that matches the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.to_ascii_lowercase();
         let routes = self.routes.get(host.as_str())?;
         routes.iter().find(|route| path.starts_with(&*route.path_start))
     }
 
-    /// The service of that name.
+    /// The service with that name.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceSpec> {
         self.services.get(name)
     }
--- a/crates/bulrushusher_forward/src/routing_delta.rs
+++ b/crates/bulrushusher_forward/src/routing_delta.rs
@@ -1,7 +1,7 @@
-//! What changed from one configuration to the next, as relays pass it on.
+//! The difference between two configurations, as relays forward it.
 //!
-//! Most changes touch a few of hundreds of routes. Keys of client accounts are told by the store alone, so that
-//! configurations with accounts have no delta.
+//! Most changes affect a few of hundreds of routes. API keys of client accounts are distributed by
+//! the store only, so configurations with accounts have no delta.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -11,12 +11,12 @@
 
 use crate::{CallerLimits, Route, RoutingConfig, RoutingError, ServiceSpec};
 
-/// The difference of two configurations without client accounts.
+/// The difference between two configurations without client accounts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoutingDelta {
-    /// Version of the configuration that it changes.
+    /// Version of the configuration that the delta applies to.
     pub from: u64,
-    /// Version of the one that it leads to.
+    /// Version of the resulting configuration.
     pub version: u64,
     limits: CallerLimits,
     services: Vec<ServiceSpec>,
@@ -25,8 +25,8 @@
 }
 
 impl RoutingDelta {
-    /// What leads from one configuration to another; `None` where either has client accounts, or names
-    /// several routes alike.
+    /// The delta from one configuration to another; `None` if either has client accounts or two
+    /// routes of the same name.
     pub fn between(old: &RoutingConfig, new: &RoutingConfig) -> Option<RoutingDelta> {
         if old.accounts().is_some() || new.accounts().is_some() {
             return None;
@@ -43,12 +43,12 @@
         })
     }
 
-    /// Routes that it changes or removes.
+    /// Number of changed and removed routes.
     pub fn route_count(&self) -> usize {
         self.changed.len() + self.removed.len()
     }
 
-    /// The configuration that it leads to from `old`; `None` where it does not begin there.
+    /// Applies the delta to `old`; returns `None` if it does not apply to that configuration.
     ///
     /// # Errors
     /// [`RoutingError`] names the first route that cannot be used.
@@ -65,7 +65,7 @@
     }
 }
 
-/// The routes by their names; `None` where two have the same.
+/// The routes by name; `None` if two share a name.
 fn by_name(cfg: &RoutingConfig) -> Option<HashMap<RouteName, &Arc<Route>>> {
     let routes: HashMap<RouteName, &Arc<Route>> =
         cfg.routes().map(|route| (route.name.clone(), route)).collect();
--- a/crates/bulrushusher_forward/src/runner_changes.rs
+++ b/crates/bulrushusher_forward/src/runner_changes.rs
@@ -1,7 +1,7 @@
-//! Changes of the runners' list, as relays pass them on.
+//! Changes of the runner list, as relays forward them.
 //!
-//! Each delta says from which revision of the store to which it leads, so that whoever hears it knows
-//! whether something is missing, and asks for that. What no relay remembers is asked of the store.
+//! Each delta names the store revisions between which it leads, so a receiver detects gaps and
+//! requests what is missing from a relay. Changes older than a relay's log are read from the store.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,16 +14,16 @@
 /// A change of one runner's entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunnerChange {
-    /// The entry as it is now.
+    /// The entry's new content.
     Entry(Runner),
-    /// It was removed.
+    /// The entry was removed.
     Removed(RunnerId),
-    /// It cannot be read, and names no runner to use.
+    /// The entry cannot be parsed; the runner must not be used.
     Unusable(RunnerId),
 }
 
 impl RunnerChange {
-    /// The runner that it is about.
+    /// The changed runner.
     pub fn runner(&self) -> &RunnerId {
         match self {
             RunnerChange::Entry(runner) => &runner.id,
@@ -32,33 +32,33 @@
     }
 }
 
-/// What a gateway asks a relay for.
+/// A request to a relay for changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeltaRequest {
-    /// The revision up to which it has missed nothing.
+    /// The revision up to which the requester has all changes.
     pub after: u64,
-    /// The runner after which to go on, where a delta has several pages.
+    /// The last runner of the previous page, when a further page is requested.
     pub page_after: Option<RunnerId>,
 }
 
-/// One page of what changed between two revisions of the store.
+/// One page of the changes between two revisions of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerDelta {
-    /// What it was asked for; `after` is where it begins.
+    /// The request that it answers; the delta begins at its `after`.
     pub of: DeltaRequest,
-    /// Where it leads to.
+    /// The revision at which the delta ends.
     pub revision: u64,
-    /// Revision of the last change up to there.
+    /// Revision of the last change up to `revision`.
     pub last_change: u64,
-    /// The last state of each runner that changed, in order of their identities.
+    /// The latest state of each changed runner, sorted by identity.
     pub changes: Vec<RunnerChange>,
-    /// The runner after which the next page goes on; `None` on the last one.
+    /// The runner after which the next page begins; `None` on the last page.
     pub next_page: Option<RunnerId>,
-    /// Time since the store was back from an outage, where entries may have lapsed by it.
+    /// Time since the end of a store outage, while entries may still be missing because of it.
     pub outage_age: Option<Millis>,
 }
 
-/// The last changes, for those who ask.
+/// A bounded log of the latest changes, for answering requests.
 ///
 /// ```
 /// use bulrushusher_forward::{ChangeLog, DeltaRequest, RunnerChange};
@@ -74,32 +74,32 @@
 #[derive(Clone, Debug, Default)]
 pub struct ChangeLog {
     most: usize,
-    /// Nothing after this revision is missing.
+    /// The log is complete after this revision.
     base: u64,
     revision: u64,
     last_change: u64,
-    /// Each with the revision that its batch led to.
+    /// Changes, each with the last revision of its batch.
     changes: VecDeque<(u64, RunnerChange)>,
 }
 
 impl ChangeLog {
-    /// A log of at most so many changes.
+    /// Creates a log of at most `most` changes.
     pub fn new(most: usize) -> ChangeLog {
         ChangeLog { most, ..ChangeLog::default() }
     }
 
-    /// The revision that it leads to; 0 while it is empty.
+    /// The revision at which the log ends; 0 while it is empty.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Forgets all; what follows begins at `revision`.
+    /// Clears the log; it continues from `revision`.
     pub fn restart(&mut self, revision: u64, last_change: u64) {
         self.changes.clear();
         (self.base, self.revision, self.last_change) = (revision, revision, last_change);
     }
 
-    /// Adds what changed from one revision to another.
+    /// Appends the changes between two revisions.
     pub fn record(
         &mut self,
         after: u64,
@@ -119,7 +119,8 @@
         }
     }
 
-    /// What changed since a revision, at most `most` runners of it; `None` when that is not known.
+    /// One page of the changes after a revision, with at most `most` runners; `None` when the log
+    /// does not reach back that far.
     pub fn since(&self, req: &DeltaRequest, most: usize) -> Option<RunnerDelta> {
         if req.after < self.base || era_of(req.after) != era_of(self.revision) {
             return None;
@@ -138,41 +139,41 @@
 }
 
 impl RunnerDelta {
-    /// Takes the page that was asked for out of all changes, which are in order.
+    /// Fills in the requested page from all changes, which are sorted by runner.
     fn with_page(self, all: impl Iterator<Item = RunnerChange>, most: usize) -> RunnerDelta {
         let page_after = self.of.page_after.as_ref();
         let mut changes: Vec<RunnerChange> = all
             .filter(|change| page_after.is_none_or(|id| change.runner() > id))
             .take(most + 1)
             .collect();
-        let goes_on = changes.len() > most;
+        let is_truncated = changes.len() > most;
         changes.truncate(most);
-        let next_page = changes.last().filter(|_| goes_on).map(|last| last.runner().clone());
+        let next_page = changes.last().filter(|_| is_truncated).map(|last| last.runner().clone());
         RunnerDelta { changes, next_page, ..self }
     }
 }
 
-/// What a delta is to whoever hears it.
+/// What a receiver does with a page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DeltaNews {
-    /// All of it is here and leads on from what is known.
+    /// The delta is complete and continues from the receiver's revision: apply it.
     Apply(RunnerDelta),
-    /// Something before it, or a page of it, is missing: ask for that.
+    /// An earlier change or a further page is missing: send this request.
     Missing(DeltaRequest),
-    /// It tells nothing new.
+    /// It contains nothing new.
     Known,
-    /// The store has come back from an older copy, and must be asked itself.
+    /// The store was restored from an older backup: read the list from the store.
     OtherEra,
 }
 
-/// Puts the pages of deltas together.
+/// Reassembles deltas from their pages.
 #[derive(Clone, Debug, Default)]
 pub struct DeltaPages {
     partial: Option<RunnerDelta>,
 }
 
 impl DeltaPages {
-    /// Takes a page, while nothing up to the revision `seen` was missed.
+    /// Adds a page; the receiver has all changes up to the revision `seen`.
     pub fn take(&mut self, page: RunnerDelta, seen: u64) -> DeltaNews {
         if era_of(page.revision) > era_of(seen) {
             self.partial = None;
@@ -184,21 +185,21 @@
         if page.of.after > seen {
             return DeltaNews::Missing(DeltaRequest { after: seen, page_after: None });
         }
-        let joined = self.join(page).filter(|joined| joined.revision > seen);
-        let Some(joined) = joined else { return DeltaNews::Known };
-        match joined.next_page.clone() {
+        let combined = self.append(page).filter(|combined| combined.revision > seen);
+        let Some(combined) = combined else { return DeltaNews::Known };
+        match combined.next_page.clone() {
             Some(next) => {
-                let req = DeltaRequest { after: joined.of.after, page_after: Some(next) };
-                self.partial = Some(joined);
+                let req = DeltaRequest { after: combined.of.after, page_after: Some(next) };
+                self.partial = Some(combined);
                 DeltaNews::Missing(req)
             }
-            None => DeltaNews::Apply(joined),
+            None => DeltaNews::Apply(combined),
         }
     }
 
-    /// Adds a page to those before it; `None` when they are not here. What changed between pages comes
-    /// with the next delta, as the revision stays that of the first.
-    fn join(&mut self, page: RunnerDelta) -> Option<RunnerDelta> {
+    /// Appends a page to the previous ones; `None` if they are missing. Changes made between two
+    /// pages arrive with the next delta, as the revision stays that of the first page.
+    fn append(&mut self, page: RunnerDelta) -> Option<RunnerDelta> {
         if page.of.page_after.is_none() {
             return Some(page);
         }
