--- a/crates/bulrushusher_forward/tests/changes.rs
+++ b/crates/bulrushusher_forward/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Gateways that tell each other changes, over a network that loses, doubles and reorders them.
+//! Report deltas between two gateways over a network that loses, duplicates and reorders messages.
 
 use bulrushusher_forward::{
     ChangesNews, ForecastConfig, GatewayChanges, GatewayReport, LengthModel, MemoryForecast,
@@ -8,42 +8,42 @@
 use bulrushusher_world::RunnerId;
 use proptest::prelude::*;
 
-/// Runners, and steps of one case.
+/// Number of runners, and of steps per case.
 const RUNNERS: u8 = 4;
 const STEPS: usize = 60;
 
-/// The most that a run makes.
-const MOST_MADE: u64 = 4_000;
+/// Maximum number of tokens that a run generates.
+const MAX_GENERATED: u64 = 4_000;
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Memory is held at a runner.
+    /// Reserves memory at a runner for a new run.
     Hold(u8, u64),
-    /// One of the runs begins or goes on.
+    /// A run begins or continues.
     Progress(usize, u64),
-    /// One of them makes nothing.
+    /// A run stalls.
     Stall(usize),
-    /// One of them ends.
+    /// A run ends.
     End(usize),
-    /// What changed is told, and arrives that often: lost, once or twice.
-    Tell(u8),
-    /// The oldest of what was told before arrives again.
-    TellOld,
+    /// The next delta is sent and arrives that many times: lost, once or duplicated.
+    Send(u8),
+    /// The first delta ever sent arrives again.
+    Replay,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         3 => (0..RUNNERS, 1_000..9_000_u64).prop_map(|(at, prompt)| Step::Hold(at, prompt)),
-        2 => (any::<usize>(), 0..MOST_MADE).prop_map(|(run, made)| Step::Progress(run, made)),
+        2 => (any::<usize>(), 0..MAX_GENERATED).prop_map(|(run, made)| Step::Progress(run, made)),
         1 => any::<usize>().prop_map(Step::Stall),
         2 => any::<usize>().prop_map(Step::End),
-        4 => (0..3_u8).prop_map(Step::Tell),
-        1 => Just(Step::TellOld),
+        4 => (0..3_u8).prop_map(Step::Send),
+        1 => Just(Step::Replay),
     ]
 }
 
 fn runner(n: u8) -> RunnerId {
-    format!("i-{n}").as_str().try_into().expect("a good name")
+    format!("i-{n}").as_str().try_into().expect("valid name")
 }
 
 fn forecast() -> MemoryForecast {
@@ -55,37 +55,37 @@
     }
 }
 
-/// One gateway that tells, and one that hears.
-struct Pair {
-    teller: Runs,
+/// A sending and a receiving gateway.
+struct Link {
+    sender: Runs,
     live: Vec<RunNumber>,
     last: GatewayReport,
-    told: Vec<GatewayChanges>,
-    hearer: Runs,
-    /// True while the hearer has missed nothing since the last whole report.
-    in_step: bool,
+    sent: Vec<GatewayChanges>,
+    receiver: Runs,
+    /// True while the receiver has missed no delta since the last full report.
+    has_all: bool,
 }
 
-impl Pair {
-    fn new() -> Pair {
+impl Link {
+    fn new() -> Link {
         let runs = || Runs::new(PeersConfig::default());
-        let mut pair = Pair {
-            teller: runs(),
+        let mut link = Link {
+            sender: runs(),
             live: Vec::new(),
             last: GatewayReport { life: 1, number: 1, ..GatewayReport::default() },
-            told: Vec::new(),
-            hearer: runs(),
-            in_step: true,
+            sent: Vec::new(),
+            receiver: runs(),
+            has_all: true,
         };
-        pair.hearer.hear("g", pair.last.clone(), Millis(0));
-        pair
+        link.receiver.hear("g", link.last.clone(), Millis(0));
+        link
     }
 
     fn report(&self) -> GatewayReport {
         GatewayReport {
             life: 1,
             number: self.last.number + 1,
-            runs: self.teller.own().cloned().collect(),
+            runs: self.sender.own().cloned().collect(),
             ..GatewayReport::default()
         }
     }
@@ -94,50 +94,51 @@
         match step {
             Step::Hold(at, prompt) => {
                 let shape = RunShape { prompt: prompt as f64, made: 0.0, expected: 2e3, most: 9e3 };
-                self.live.push(self.teller.hold(RunNote::new(runner(at), shape)));
+                self.live.push(self.sender.hold(RunNote::new(runner(at), shape)));
             }
             Step::Progress(run, made) if !self.live.is_empty() => {
-                self.teller.progress(self.live[run % self.live.len()], made);
+                self.sender.progress(self.live[run % self.live.len()], made);
             }
             Step::Stall(run) if !self.live.is_empty() => {
-                self.teller.stall(self.live[run % self.live.len()]);
+                self.sender.stall(self.live[run % self.live.len()]);
             }
             Step::End(run) if !self.live.is_empty() => {
                 let run = self.live.remove(run % self.live.len());
-                assert!(self.teller.end(run).is_some());
+                assert!(self.sender.end(run).is_some());
             }
             Step::Progress(..) | Step::Stall(_) | Step::End(_) => {}
-            Step::Tell(times) => self.tell(times),
-            Step::TellOld => {
-                if let Some(old) = self.told.first().cloned() {
-                    let news = self.hearer.hear_changes("g", old, Millis(0));
-                    assert!(news == ChangesNews::Old || !self.in_step, "{news:?}");
+            Step::Send(times) => self.send(times),
+            Step::Replay => {
+                if let Some(old) = self.sent.first().cloned() {
+                    let outcome = self.receiver.hear_changes("g", old, Millis(0));
+                    assert!(outcome == ChangesNews::Old || !self.has_all, "{outcome:?}");
                 }
             }
         }
     }
 
-    fn tell(&mut self, times: u8) {
+    fn send(&mut self, times: u8) {
         let report = self.report();
         let changes = GatewayChanges::between(&self.last, &report);
         self.last = report;
-        self.told.push(changes.clone());
+        self.sent.push(changes.clone());
         for _ in 0..times {
-            let news = self.hearer.hear_changes("g", changes.clone(), Millis(0));
-            if news == ChangesNews::Missed {
-                self.hearer.hear(
+            let outcome = self.receiver.hear_changes("g", changes.clone(), Millis(0));
+            if outcome == ChangesNews::Missed {
+                self.receiver.hear(
                     "g",
                     GatewayReport { number: self.last.number + 1, ..self.last.clone() },
                     Millis(0),
                 );
                 self.last.number += 1;
-                self.in_step = true;
+                self.has_all = true;
             }
         }
-        self.in_step &= times > 0;
+        self.has_all &= times > 0;
     }
 
-    /// What the hearer believes of a runner, but for what runs made: prompts and begun runs.
+    /// Checks that the receiver knows the same runs as the last report; tokens generated may
+    /// differ.
     fn check(&self) {
         for n in 0..RUNNERS {
             let prompts = |runs: &mut dyn Iterator<Item = f64>| {
@@ -145,18 +146,19 @@
                 all.sort_unstable();
                 all
             };
-            let told = self.last.runs.iter().filter(|note| note.runner == runner(n));
-            let told = prompts(&mut told.map(|note| note.prompt as f64));
-            let heard = self.hearer.at(&runner(n), 1.4, Millis(0));
-            assert_eq!(prompts(&mut heard.iter().map(|run| run.prompt)), told, "runner {n}");
-            // What runs make meanwhile may be some milliseconds old; which runs there are may not.
-            let need = self.hearer.need_at(&runner(n), &forecast(), Millis(0));
-            let prompts: f64 = heard.iter().map(|run| run.prompt).sum();
-            assert_eq!(need.runs, heard.len(), "what is kept of runner {n} is out of date");
-            let made = need.now - prompts;
+            let sent = self.last.runs.iter().filter(|note| note.runner == runner(n));
+            let sent = prompts(&mut sent.map(|note| note.prompt as f64));
+            let known = self.receiver.at(&runner(n), 1.4, Millis(0));
+            assert_eq!(prompts(&mut known.iter().map(|run| run.prompt)), sent, "runner {n}");
+            // The cached need may count generated tokens of a few ms ago, but must have the current
+            // runs.
+            let need = self.receiver.need_at(&runner(n), &forecast(), Millis(0));
+            let prompts: f64 = known.iter().map(|run| run.prompt).sum();
+            assert_eq!(need.runs, known.len(), "the cached need of runner {n} is outdated");
+            let generated = need.now - prompts;
             assert!(
-                (0.0..=MOST_MADE as f64 * need.runs as f64).contains(&made),
-                "runner {n}: {made}"
+                (0.0..=MAX_GENERATED as f64 * need.runs as f64).contains(&generated),
+                "runner {n}: {generated}"
             );
         }
     }
@@ -170,22 +172,22 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whoever has heard all since a whole report believes what was told; whoever has not knows that
-    /// it has not.
+    /// A receiver of all deltas since a full report knows the reported state; one that missed a
+    /// delta detects the gap.
     #[test]
-    fn changes_say_the_same_as_whole_reports(steps in prop::collection::vec(step(), STEPS)) {
-        let mut pair = Pair::new();
+    fn deltas_are_equivalent_to_full_reports(steps in prop::collection::vec(step(), STEPS)) {
+        let mut link = Link::new();
         for step in steps {
-            pair.play(step);
-            if pair.in_step {
-                pair.check();
+            link.play(step);
+            if link.has_all {
+                link.check();
             }
         }
     }
 }
 
 #[test]
-fn changes_of_a_peer_that_is_not_known_ask_for_a_whole_report() {
+fn a_delta_that_does_not_follow_a_known_report_is_a_gap() {
     let mut runs = Runs::new(PeersConfig::default());
     let report = GatewayReport { life: 1, number: 2, ..GatewayReport::default() };
     let changes = GatewayChanges { report: report.clone(), ended: Vec::new() };
@@ -197,30 +199,38 @@
     };
     assert_eq!(runs.hear_changes("g", next(3, 1), Millis(0)), ChangesNews::Taken);
     assert_eq!(runs.hear_changes("g", next(3, 1), Millis(0)), ChangesNews::Old);
-    assert_eq!(runs.hear_changes("g", next(5, 1), Millis(0)), ChangesNews::Missed, "4 is lost");
+    assert_eq!(
+        runs.hear_changes("g", next(5, 1), Millis(0)),
+        ChangesNews::Missed,
+        "report 4 was lost"
+    );
     assert_eq!(
         runs.hear_changes("g", next(1, 2), Millis(0)),
         ChangesNews::Missed,
-        "it started again"
+        "the peer restarted"
     );
     let silent = PeersConfig::default().forget_after;
-    assert_eq!(runs.hear_changes("g", next(6, 1), silent), ChangesNews::Missed, "it was silent");
+    assert_eq!(
+        runs.hear_changes("g", next(6, 1), silent),
+        ChangesNews::Missed,
+        "the peer was silent"
+    );
 }
 
 #[test]
-fn runs_of_a_peer_that_is_silent_count_for_nothing() {
+fn runs_of_a_silent_peer_are_ignored() {
     let mut runs = Runs::new(PeersConfig::default());
     let shape = RunShape { prompt: 5_000.0, made: 0.0, expected: 2_000.0, most: 9_000.0 };
     let note = RunNote { number: 1, begun: true, ..RunNote::new(runner(1), shape) };
     let report = GatewayReport { life: 1, number: 1, runs: vec![note], ..GatewayReport::default() };
     runs.hear("g", report.clone(), Millis(0));
-    let nothing_new = GatewayChanges {
+    let empty_delta = GatewayChanges {
         report: GatewayReport { number: 2, runs: Vec::new(), ..report },
         ended: Vec::new(),
     };
-    runs.hear_changes("g", nothing_new, Millis(1_000));
+    runs.hear_changes("g", empty_delta, Millis(1_000));
     let made = runs.at(&runner(1), 1.0, Millis(1_500))[0].made;
-    assert_eq!(made, 1_500.0, "it grows from when its own run was told");
-    assert_eq!(runs.at(&runner(1), 1.0, Millis(3_900)).len(), 1, "its gateway still speaks");
+    assert_eq!(made, 1_500.0, "the run is extrapolated from the report that contained it");
+    assert_eq!(runs.at(&runner(1), 1.0, Millis(3_900)).len(), 1, "its gateway is still live");
     assert!(runs.at(&runner(1), 1.0, Millis(4_000)).is_empty());
 }
--- a/crates/bulrushusher_forward/tests/gateways.rs
+++ b/crates/bulrushusher_forward/tests/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateways that come, go, are cut off and start again: who is known, told and cleaned away.
+//! Gateways that start, end, restart and are partitioned: who is known, active and cleaned up.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,8 +9,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// How often each gateway reads the announcements.
-const LOOK: Millis = Millis(15_000);
+/// Interval at which each gateway reads the announcements.
+const READ_INTERVAL: Millis = Millis(15_000);
 
 fn name(n: usize) -> Arc<str> {
     format!("entry-{n}").as_str().into()
@@ -20,7 +20,7 @@
     ([10, start as u8, (n / 250) as u8, (n % 250) as u8], 7_000).into()
 }
 
-/// Gateways that speak with each other by whole reports, and the store that holds announcements.
+/// Gateways that exchange full reports, and the store with their announcements.
 struct Fleet {
     gateways: BTreeMap<usize, Gateways>,
     /// Name, address and revision of each announcement.
@@ -45,7 +45,7 @@
         fleet
     }
 
-    /// A gateway starts, perhaps again, at another address.
+    /// Starts a gateway; a restart gets a new address.
     fn start(&mut self, n: usize) {
         let start = self.starts.get(&n).map_or(0, |start| start + 1);
         self.starts.insert(n, start);
@@ -59,11 +59,11 @@
         self.store.insert(n, (address(n, self.starts[&n]), self.revision));
     }
 
-    /// All look at the store and clean up, then tell whomever they know.
-    fn look(&mut self, is_cut: impl Fn(usize, usize) -> bool) {
-        self.now = self.now.plus(LOOK);
-        // They have spoken all the time.
-        self.tell(&is_cut);
+    /// All gateways read the announcements, clean up, and send reports to all that they know.
+    fn run_round(&mut self, is_partitioned: impl Fn(usize, usize) -> bool) {
+        self.now = self.now.plus(READ_INTERVAL);
+        // Reports were exchanged during the whole interval.
+        self.exchange_reports(&is_partitioned);
         let all: Vec<Announced> = self
             .store
             .iter()
@@ -81,10 +81,10 @@
             }
             removed.extend(gateway.to_remove(self.now));
         }
-        self.tell(&is_cut);
+        self.exchange_reports(&is_partitioned);
         for announced in removed {
             let found = self.store.iter().find(|(n, _)| name(**n) == announced.name);
-            // Each is removed only at its revision.
+            // An announcement is removed only at its expected revision.
             let n = found.filter(|(_, held)| held.1 == announced.revision).map(|(n, _)| *n);
             if let Some(n) = n {
                 self.store.remove(&n);
@@ -94,25 +94,27 @@
         missing.into_iter().for_each(|n| self.announce(n));
     }
 
-    fn tell(&mut self, is_cut: &impl Fn(usize, usize) -> bool) {
+    fn exchange_reports(&mut self, is_partitioned: &impl Fn(usize, usize) -> bool) {
         let at: BTreeMap<SocketAddr, usize> =
             self.gateways.keys().map(|n| (address(*n, self.starts[n]), *n)).collect();
-        let told: Vec<(usize, SocketAddr)> = self
+        let sent: Vec<(usize, SocketAddr)> = self
             .gateways
             .iter()
             .flat_map(|(n, gateway)| gateway.all().into_iter().map(move |to| (*n, to)))
             .collect();
-        for (from, to) in told {
-            let Some(to) = at.get(&to).copied().filter(|to| !is_cut(from, *to)) else { continue };
-            let heard_from = address(from, self.starts[&from]);
+        for (from, to) in sent {
+            let Some(to) = at.get(&to).copied().filter(|to| !is_partitioned(from, *to)) else {
+                continue;
+            };
+            let sender_address = address(from, self.starts[&from]);
             if let Some(gateway) = self.gateways.get_mut(&to) {
-                gateway.hear(&name(from), heard_from, self.now);
+                gateway.hear(&name(from), sender_address, self.now);
             }
         }
     }
 
-    /// Gateways that each live one tells its changes.
-    fn told(&self, n: usize) -> BTreeSet<SocketAddr> {
+    /// Addresses to which a gateway sends each change.
+    fn recipients(&self, n: usize) -> BTreeSet<SocketAddr> {
         self.gateways[&n].told(self.now).into_iter().collect()
     }
 
@@ -122,48 +124,48 @@
     }
 }
 
-fn looks_until_cleaned() -> usize {
-    (GatewaysConfig::default().gone_after.0 / LOOK.0) as usize + 2
+fn rounds_until_cleanup() -> usize {
+    (GatewaysConfig::default().gone_after.0 / READ_INTERVAL.0) as usize + 2
 }
 
-/// Replaced VMs have new names. Their announcements go within some looks of the time after which they
-/// count as gone, and nobody is told in vain meanwhile but by a whole report.
+/// Replaced VMs have new names. Announcements of the old ones are removed shortly after
+/// `gone_after`; until then they are sent full reports only, and no changes.
 #[test]
-fn announcements_of_gateways_that_are_gone_are_removed() {
+fn announcements_of_dead_gateways_are_removed() {
     let mut fleet = Fleet::new(12);
-    fleet.look(|_, _| false);
+    fleet.run_round(|_, _| false);
     for n in 0..5 {
         fleet.gateways.remove(&n);
     }
-    fleet.look(|_, _| false);
+    fleet.run_round(|_, _| false);
     for n in 5..12 {
-        assert_eq!(fleet.told(n), fleet.others(n), "the others, and none that is gone");
+        assert_eq!(fleet.recipients(n), fleet.others(n), "exactly the live gateways");
     }
-    (0..looks_until_cleaned()).for_each(|_| fleet.look(|_, _| false));
+    (0..rounds_until_cleanup()).for_each(|_| fleet.run_round(|_, _| false));
     assert_eq!(fleet.store.keys().copied().collect::<Vec<_>>(), (5..12).collect::<Vec<_>>());
-    assert_eq!(fleet.writes, 12 + 5, "each is removed once");
+    assert_eq!(fleet.writes, 12 + 5, "each dead announcement is removed once");
 }
 
-/// Two halves that do not hear each other for an hour keep finding each other's announcements again, at
-/// a write or two a gateway in five minutes.
+/// During a partition of an hour, two halves repeatedly remove and rewrite each other's
+/// announcements, with at most two writes per gateway in each `gone_after`.
 #[test]
-fn halves_that_do_not_hear_each_other_write_little_and_find_each_other_again() {
+fn partitioned_halves_write_rarely_and_rediscover_each_other() {
     let mut fleet = Fleet::new(20);
-    fleet.look(|_, _| false);
-    let is_cut = |from: usize, to: usize| (from < 10) != (to < 10);
+    fleet.run_round(|_, _| false);
+    let is_partitioned = |from: usize, to: usize| (from < 10) != (to < 10);
     const HOUR: usize = 240;
     let before = fleet.writes;
-    (0..HOUR).for_each(|_| fleet.look(is_cut));
-    let periods = HOUR * LOOK.0 as usize / GatewaysConfig::default().gone_after.0 as usize;
+    (0..HOUR).for_each(|_| fleet.run_round(is_partitioned));
+    let periods = HOUR * READ_INTERVAL.0 as usize / GatewaysConfig::default().gone_after.0 as usize;
     assert!(fleet.writes - before <= 2 * 20 * periods, "{} writes", fleet.writes - before);
-    (0..3).for_each(|_| fleet.look(|_, _| false));
+    (0..3).for_each(|_| fleet.run_round(|_, _| false));
     for n in 0..20 {
-        assert_eq!(fleet.told(n), fleet.others(n));
+        assert_eq!(fleet.recipients(n), fleet.others(n));
     }
 }
 
 #[test]
-fn no_more_gateways_are_known_than_allowed() {
+fn the_number_of_known_gateways_is_bounded() {
     let cfg = GatewaysConfig { most: 50, ..GatewaysConfig::default() };
     let mut gateways = Gateways::new(cfg, name(9_999));
     for n in 0..1_000 {
@@ -171,21 +173,24 @@
     }
     let all = gateways.all();
     assert_eq!(all.len(), 50);
-    assert!(all.contains(&address(999, 0)) && !all.contains(&address(0, 0)), "the last ones");
+    assert!(
+        all.contains(&address(999, 0)) && !all.contains(&address(0, 0)),
+        "the most recent ones are kept"
+    );
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Leave(usize),
     Start(usize),
-    Look { cut: Option<usize> },
+    Round { isolated: Option<usize> },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         1 => (0..8_usize).prop_map(Step::Leave),
         2 => (0..8_usize).prop_map(Step::Start),
-        4 => prop::option::weighted(0.3, 0..8_usize).prop_map(|cut| Step::Look { cut }),
+        4 => prop::option::weighted(0.3, 0..8_usize).prop_map(|isolated| Step::Round { isolated }),
     ]
 }
 
@@ -194,10 +199,10 @@
         cases: 256, rng_seed: RngSeed::Fixed(21), failure_persistence: None, ..Config::default()
     })]
 
-    /// Whatever left, started again elsewhere or was cut off: after three quiet looks everybody tells
-    /// exactly the others, and each that lives is announced.
+    /// After any sequence of departures, restarts and partitions, three undisturbed rounds suffice
+    /// for each gateway to be announced and to send changes to exactly the other live ones.
     #[test]
-    fn after_some_quiet_looks_everybody_tells_the_others(
+    fn after_quiet_rounds_changes_go_to_exactly_the_other_gateways(
         steps in prop::collection::vec(step(), 1..60),
     ) {
         let mut fleet = Fleet::new(8);
@@ -205,14 +210,14 @@
             match step {
                 Step::Leave(n) => drop(fleet.gateways.remove(&n)),
                 Step::Start(n) => fleet.start(n),
-                Step::Look { cut } => {
-                    fleet.look(|from, to| cut.is_some_and(|cut| cut == from || cut == to));
+                Step::Round { isolated } => {
+                    fleet.run_round(|from, to| isolated.is_some_and(|n| n == from || n == to));
                 }
             }
         }
-        (0..3).for_each(|_| fleet.look(|_, _| false));
+        (0..3).for_each(|_| fleet.run_round(|_, _| false));
         for n in fleet.gateways.keys() {
-            prop_assert_eq!(fleet.told(*n), fleet.others(*n));
+            prop_assert_eq!(fleet.recipients(*n), fleet.others(*n));
             prop_assert!(fleet.store.contains_key(n));
         }
     }
--- a/crates/bulrushusher_forward/tests/relays.rs
+++ b/crates/bulrushusher_forward/tests/relays.rs
@@ -1,5 +1,5 @@
-//! A fleet whose gateways follow one store: runners that enter one by one, relays that end or lose the
-//! store, datagrams that are lost.
+//! A fleet of gateways that follows one store while runners register one by one, relays end or
+//! lose the store, and datagrams are lost.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -14,24 +14,24 @@
 use rand_chacha::ChaCha8Rng;
 
 const STEP: Millis = Millis(100);
-const REPORT_EVERY: u64 = 700;
-const WAIT: u64 = 2_500;
-const ASK_AFTER: u64 = 300;
-const PAGE: usize = 20;
-/// Within which each change must be known everywhere.
-const IN_FORCE: u64 = 5_000;
+const REPORT_INTERVAL_MS: u64 = 700;
+const LONG_POLL_MS: u64 = 2_500;
+const REQUEST_AFTER_MS: u64 = 300;
+const PAGE_SIZE: usize = 20;
+/// Time within which every gateway must know a change.
+const IN_FORCE_MS: u64 = 5_000;
 
 fn id(n: usize) -> RunnerId {
-    format!("i-{n:04}").as_str().try_into().expect("a good name")
+    format!("i-{n:04}").as_str().try_into().expect("valid name")
 }
 
 fn entry(n: usize, slots: u32) -> RunnerChange {
     RunnerChange::Entry(Runner {
         id: id(n),
         born: None,
-        service: "app".try_into().expect("a good name"),
-        address: "10.0.0.1:80".parse().expect("an address"),
-        data_centre: "dc-1".try_into().expect("a good name"),
+        service: "app".try_into().expect("valid name"),
+        address: "10.0.0.1:80".parse().expect("valid address"),
+        data_centre: "dc-1".try_into().expect("valid name"),
         slots,
         stage: None,
         leaving: false,
@@ -52,12 +52,13 @@
     relays: Relays,
     view: RelayView,
     contact: StoreContact,
-    heard: HashMap<usize, (u64, StoreContact, u64)>,
+    /// Time, store contact and revision in the last report of each peer.
+    peers: HashMap<usize, (u64, StoreContact, u64)>,
     log: ChangeLog,
     pages: DeltaPages,
     seen: u64,
     table: Table,
-    asked_at: u64,
+    polled_at: u64,
     behind_since: Option<u64>,
     is_alive: bool,
     reaches_store: bool,
@@ -67,7 +68,7 @@
     fn new(n: usize) -> Gateway {
         let name: Arc<str> = format!("entry-{n}").into();
         let mut relays = Relays::new(
-            RelaysConfig { silent_after: Millis(IN_FORCE / 2), ..RelaysConfig::default() },
+            RelaysConfig { silent_after: Millis(IN_FORCE_MS / 2), ..RelaysConfig::default() },
             name.clone(),
         );
         let view = relays.decide(StoreContact::Idle, &[], Millis(0));
@@ -78,12 +79,12 @@
             relays,
             view,
             contact: StoreContact::Idle,
-            heard: HashMap::new(),
+            peers: HashMap::new(),
             log,
             pages: DeltaPages::default(),
             seen: 1,
             table: Table::new(),
-            asked_at: 0,
+            polled_at: 0,
             behind_since: None,
             is_alive: true,
             reaches_store: true,
@@ -130,17 +131,17 @@
     }
 
     fn step(&mut self, n: usize) {
-        if self.now % REPORT_EVERY == (n as u64 * STEP.0) % REPORT_EVERY {
+        if self.now % REPORT_INTERVAL_MS == (n as u64 * STEP.0) % REPORT_INTERVAL_MS {
             self.report(n);
         }
         let now = self.now;
         let gateway = &mut self.gateways[n];
-        gateway.heard.retain(|_, (at, ..)| now - *at < IN_FORCE / 2);
-        let named = |n: &usize| -> Arc<str> { format!("entry-{n}").into() };
+        gateway.peers.retain(|_, (at, ..)| now - *at < IN_FORCE_MS / 2);
+        let name_of = |n: &usize| -> Arc<str> { format!("entry-{n}").into() };
         let peers: Vec<RelayPeer> = gateway
-            .heard
+            .peers
             .iter()
-            .map(|(n, (_, contact, _))| RelayPeer { name: named(n), contact: *contact })
+            .map(|(n, (_, contact, _))| RelayPeer { name: name_of(n), contact: *contact })
             .collect();
         gateway.view = gateway.relays.decide(gateway.contact, &peers, Millis(now));
         match gateway.view.role {
@@ -150,10 +151,10 @@
     }
 
     fn report(&mut self, n: usize) {
-        let told = (self.now, self.gateways[n].contact, self.gateways[n].seen);
+        let report = (self.now, self.gateways[n].contact, self.gateways[n].seen);
         for to in (0..self.gateways.len()).filter(|to| *to != n) {
             if self.arrives() {
-                self.gateways[to].heard.insert(n, told);
+                self.gateways[to].peers.insert(n, report);
             }
         }
     }
@@ -161,11 +162,11 @@
     fn watch(&mut self, n: usize) {
         let (now, revision) = (self.now, self.changes.len() as u64);
         let gateway = &mut self.gateways[n];
-        let is_due = revision > gateway.seen || now - gateway.asked_at >= WAIT;
-        if !is_due || now - gateway.asked_at < 2 * STEP.0 {
+        let is_due = revision > gateway.seen || now - gateway.polled_at >= LONG_POLL_MS;
+        if !is_due || now - gateway.polled_at < 2 * STEP.0 {
             return;
         }
-        gateway.asked_at = now;
+        gateway.polled_at = now;
         self.calls += 1;
         if !gateway.reaches_store {
             gateway.contact = StoreContact::Lost;
@@ -180,25 +181,25 @@
         if revision == after || !gateway.view.tells {
             return;
         }
-        let delta = gateway.log.since(&DeltaRequest { after, page_after: None }, PAGE);
-        let delta = delta.expect("it was just noted");
+        let delta = gateway.log.since(&DeltaRequest { after, page_after: None }, PAGE_SIZE);
+        let delta = delta.expect("recorded above");
         let view = gateway.view.clone();
         let listens = |it: &&Gateway| {
             it.is_alive && !view.watching.contains(&it.name) && it.name != self.gateways[n].name
         };
-        let tells = |it: &Gateway| self.gateways[n].relays.tells(&view.watching, &it.name);
+        let is_served = |it: &Gateway| self.gateways[n].relays.tells(&view.watching, &it.name);
         let to: Vec<usize> = (0..self.gateways.len())
-            .filter(|to| Some(&self.gateways[*to]).filter(listens).is_some_and(tells))
+            .filter(|to| Some(&self.gateways[*to]).filter(listens).is_some_and(is_served))
             .collect();
         for to in to {
             if self.arrives() {
-                self.hear(to, n, delta.clone());
+                self.receive(to, n, delta.clone());
             }
         }
     }
 
-    /// A gateway hears a page, and asks for those that it misses.
-    fn hear(&mut self, to: usize, from: usize, page: RunnerDelta) {
+    /// Delivers a page to a gateway, which requests any missing ones from its sender.
+    fn receive(&mut self, to: usize, from: usize, page: RunnerDelta) {
         let mut page = page;
         while self.gateways[to].view.role == StoreRole::Listen {
             let gateway = &mut self.gateways[to];
@@ -208,7 +209,7 @@
                     if !self.arrives() || !self.arrives() {
                         return;
                     }
-                    let Some(next) = self.gateways[from].log.since(&req, PAGE) else {
+                    let Some(next) = self.gateways[from].log.since(&req, PAGE_SIZE) else {
                         return self.catch_up(to);
                     };
                     page = next;
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Asks the store once.
+    /// Reads the missing changes from the store.
     fn catch_up(&mut self, n: usize) {
         self.calls += 1;
         let (gateway, revision) = (&mut self.gateways[n], self.changes.len() as u64);
@@ -236,25 +237,25 @@
         if gateway.contact == StoreContact::Watching {
             gateway.contact = StoreContact::Idle;
         }
-        let known = gateway.heard.values().map(|(.., seen)| *seen).max().unwrap_or(0);
+        let known = gateway.peers.values().map(|(.., seen)| *seen).max().unwrap_or(0);
         if known <= gateway.seen {
             gateway.behind_since = None;
             return;
         }
-        if now - *gateway.behind_since.get_or_insert(now) < ASK_AFTER {
+        if now - *gateway.behind_since.get_or_insert(now) < REQUEST_AFTER_MS {
             return;
         }
         let watch = |(_, (_, contact, _)): &(&usize, &(u64, StoreContact, u64))| {
             *contact == StoreContact::Watching
         };
-        let relays: Vec<usize> = gateway.heard.iter().filter(watch).map(|(n, _)| *n).collect();
+        let relays: Vec<usize> = gateway.peers.iter().filter(watch).map(|(n, _)| *n).collect();
         let req = DeltaRequest { after: gateway.seen, page_after: None };
         let Some(relay) = relays.get(self.rng.random_range(0..relays.len().max(1))).copied() else {
             return;
         };
         if self.gateways[relay].is_alive && self.arrives() && self.arrives() {
-            match self.gateways[relay].log.since(&req, PAGE) {
-                Some(page) => self.hear(n, relay, page),
+            match self.gateways[relay].log.since(&req, PAGE_SIZE) {
+                Some(page) => self.receive(n, relay, page),
                 None => self.catch_up(n),
             }
         }
@@ -264,7 +265,7 @@
         (0..self.gateways.len()).filter(|n| self.gateways[*n].view.tells).collect()
     }
 
-    /// Runners enter, change or leave, one every two steps.
+    /// Runners register, change or are removed, one every two steps.
     fn change_runners(&mut self, count: usize) {
         for n in 0..count {
             let change = match n % 5 {
@@ -276,39 +277,39 @@
         }
     }
 
-    /// How many live gateways do not hold what the store holds.
+    /// Number of live gateways whose table differs from the store.
     fn behind(&self) -> usize {
-        let mut held = Table::new();
-        self.changes[1..].iter().for_each(|change| put(&mut held, change));
-        self.gateways.iter().filter(|it| it.is_alive && it.table != held).count()
+        let mut stored = Table::new();
+        self.changes[1..].iter().for_each(|change| put(&mut stored, change));
+        self.gateways.iter().filter(|it| it.is_alive && it.table != stored).count()
     }
 }
 
-/// Calls of a settled fleet while so many runners enter one by one.
+/// Store calls of a settled fleet while `changes` runners register one by one.
 fn calls_for(size: usize, changes: usize) -> usize {
     let mut fleet = Fleet::new(size, 0.0, 1);
     fleet.run(6_000);
     let before = fleet.calls;
     fleet.change_runners(changes);
-    fleet.run(IN_FORCE);
+    fleet.run(IN_FORCE_MS);
     assert_eq!(fleet.behind(), 0, "of {size} gateways");
     fleet.calls - before
 }
 
 #[test]
-fn runners_that_enter_one_by_one_wake_relays_only() {
+fn single_registrations_wake_relays_only() {
     let changes = 60;
     let cfg = RelaysConfig::default();
     for size in [40, 160] {
-        let waits = (changes as u64 * 2 * STEP.0 + IN_FORCE) / WAIT + 2;
+        let waits = (changes as u64 * 2 * STEP.0 + IN_FORCE_MS) / LONG_POLL_MS + 2;
         let most = cfg.relays(size) * (changes + waits as usize);
         let calls = calls_for(size, changes);
-        assert!(calls <= most, "{calls} calls of {size} gateways, {most} at most");
+        assert!(calls <= most, "{calls} calls of {size} gateways, expected at most {most}");
     }
 }
 
 #[test]
-fn all_hold_what_the_store_holds_while_datagrams_are_lost_and_relays_end() {
+fn all_gateways_converge_despite_lost_datagrams_and_dead_relays() {
     for seed in 0..4 {
         let mut fleet = Fleet::new(30, 0.1, seed);
         fleet.run(6_000);
@@ -317,13 +318,13 @@
             fleet.gateways[n].is_alive = false;
         }
         fleet.change_runners(20);
-        fleet.run(IN_FORCE);
+        fleet.run(IN_FORCE_MS);
         assert_eq!(fleet.behind(), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn others_watch_where_the_store_fails_the_relays() {
+fn other_gateways_watch_when_relays_lose_the_store() {
     for seed in 0..4 {
         let mut fleet = Fleet::new(30, 0.02, seed);
         fleet.run(6_000);
@@ -331,13 +332,13 @@
             fleet.gateways[n].reaches_store = false;
         }
         fleet.change_runners(30);
-        fleet.run(IN_FORCE);
+        fleet.run(IN_FORCE_MS);
         assert_eq!(fleet.behind(), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn a_store_that_is_away_is_asked_by_more_and_more_but_not_by_all_at_once() {
+fn during_an_outage_the_number_of_watchers_grows_gradually() {
     let size = 160;
     let mut fleet = Fleet::new(size, 0.0, 1);
     fleet.run(6_000);
@@ -348,6 +349,6 @@
     assert!(calls < size / 2, "{calls} calls in two seconds");
     fleet.gateways.iter_mut().for_each(|it| it.reaches_store = true);
     fleet.change_runners(5);
-    fleet.run(2 * IN_FORCE);
+    fleet.run(2 * IN_FORCE_MS);
     assert_eq!(fleet.behind(), 0);
 }
--- a/crates/bulrushusher_forward/tests/routing_delta.rs
+++ b/crates/bulrushusher_forward/tests/routing_delta.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration that relays pass on lead to the very configuration that the store holds.
+//! Configuration deltas forwarded by relays produce exactly the configuration in the store.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 fn route(name: u8, timeout: u64) -> Route {
     Route {
-        name: format!("route-{name}").as_str().try_into().expect("a good name"),
+        name: format!("route-{name}").as_str().try_into().expect("valid name"),
         host: format!("{}.example", name % 3).into(),
         path_start: format!("/{name}/").into(),
         kind: RouteKind::Idempotent,
@@ -26,7 +26,7 @@
 }
 
 fn service_name() -> bulrushusher_world::ServiceName {
-    "app".try_into().expect("a good name")
+    "app".try_into().expect("valid name")
 }
 
 fn configuration(version: u64, routes: &BTreeMap<u8, u64>, connections: u32) -> RoutingConfig {
@@ -38,7 +38,7 @@
     };
     let service = ServiceSpec { name: service_name(), max_connections: connections, engine: None };
     let routes = routes.iter().map(|(name, timeout)| route(*name, *timeout)).collect();
-    RoutingConfig::new(version, routes, vec![service], limits).expect("it is good")
+    RoutingConfig::new(version, routes, vec![service], limits).expect("valid configuration")
 }
 
 fn routes_of(cfg: &RoutingConfig) -> BTreeMap<String, Arc<Route>> {
@@ -57,12 +57,12 @@
         connections in 1..5_u32,
     ) {
         let (old, new) = (configuration(1, &before, 1), configuration(2, &after, connections));
-        let delta = RoutingDelta::between(&old, &new).expect("neither has accounts");
-        let applied = delta.clone().apply(&old).expect("it is good").expect("it begins there");
+        let delta = RoutingDelta::between(&old, &new).expect("no client accounts");
+        let applied = delta.clone().apply(&old).expect("valid configuration").expect("same base version");
         prop_assert_eq!(routes_of(&applied), routes_of(&new));
         prop_assert_eq!(applied.service(&service_name()), new.service(&service_name()));
         prop_assert_eq!(applied.version, 2);
         let other = configuration(3, &before, 1);
-        prop_assert!(delta.apply(&other).expect("it is good").is_none(), "it begins elsewhere");
+        prop_assert!(delta.apply(&other).expect("valid configuration").is_none(), "other base version");
     }
 }
--- a/crates/bulrushusher_forward/tests/silence.rs
+++ b/crates/bulrushusher_forward/tests/silence.rs
@@ -1,29 +1,29 @@
-//! Runners that stay silent: one call tries them again, and peers speak for each other.
+//! Unreachable runners: a single trial call after the pause, and reports of peers about them.
 
 use bulrushusher_forward::{CallResult, GatewayReport, LoadConfig, PeersConfig, RunnerLoads, Runs};
 use bulrushusher_time::Millis;
 use bulrushusher_world::RunnerId;
 
 fn id() -> RunnerId {
-    "p0".try_into().expect("a good name")
+    "p0".try_into().expect("valid name")
 }
 
 #[test]
-fn after_its_pause_one_call_tries_a_silent_runner_and_others_pass_it_over() {
+fn after_the_pause_a_single_call_probes_a_silent_runner() {
     let mut loads = RunnerLoads::new(LoadConfig::default());
     loads.note(&id(), CallResult::Unreachable, Millis(0));
     assert!(loads.is_paused(&id(), Millis(299)) && !loads.is_paused(&id(), Millis(300)));
     loads.note_trial(&id(), Millis(310));
-    assert!(loads.is_paused(&id(), Millis(320)), "a call is trying it");
-    assert_eq!(loads.silent(Millis(320)), [id()], "peers hear of it meanwhile");
+    assert!(loads.is_paused(&id(), Millis(320)), "a trial call is in flight");
+    assert_eq!(loads.silent(Millis(320)), [id()], "still reported to peers");
     loads.note(&id(), CallResult::Answered(Millis(90)), Millis(400));
     assert!(!loads.is_paused(&id(), Millis(400)) && loads.silent(Millis(400)).is_empty());
     loads.note_trial(&id(), Millis(410));
-    assert!(!loads.is_paused(&id(), Millis(410)), "a runner that answers needs no trial");
+    assert!(!loads.is_paused(&id(), Millis(410)), "a reachable runner needs no trial");
 }
 
 #[test]
-fn memory_that_is_held_shows_that_a_runner_is_there_again() {
+fn a_granted_memory_hold_ends_the_pause_of_a_runner() {
     let mut loads = RunnerLoads::new(LoadConfig::default());
     loads.note(&id(), CallResult::Unreachable, Millis(0));
     loads.note_trial(&id(), Millis(300));
@@ -32,25 +32,25 @@
 }
 
 #[test]
-fn a_trial_that_is_given_up_keeps_nobody_from_the_runner_for_long() {
+fn an_abandoned_trial_expires() {
     let mut loads = RunnerLoads::new(LoadConfig::default());
     loads.note(&id(), CallResult::Unreachable, Millis(0));
     loads.note_trial(&id(), Millis(300));
     assert!(loads.is_paused(&id(), Millis(1_299)) && !loads.is_paused(&id(), Millis(1_300)));
 }
 
-fn told(silent: Vec<RunnerId>, number: u64) -> GatewayReport {
+fn report(silent: Vec<RunnerId>, number: u64) -> GatewayReport {
     GatewayReport { life: 1, number, silent, ..GatewayReport::default() }
 }
 
 #[test]
-fn two_peers_that_cannot_reach_a_runner_speak_for_it_and_one_of_many_does_not() {
+fn a_runner_is_silent_if_two_peers_or_the_only_peer_report_it() {
     let mut runs = Runs::new(PeersConfig::default());
-    runs.hear("g1", told(vec![id()], 1), Millis(0));
-    assert!(runs.is_silent_at_peers(&id(), Millis(0)), "there is no other to ask");
-    runs.hear("g2", told(Vec::new(), 1), Millis(0));
-    assert!(!runs.is_silent_at_peers(&id(), Millis(0)), "one may be cut off itself");
-    runs.hear("g3", told(vec![id()], 1), Millis(0));
+    runs.hear("g1", report(vec![id()], 1), Millis(0));
+    assert!(runs.is_silent_at_peers(&id(), Millis(0)), "the only peer decides");
+    runs.hear("g2", report(Vec::new(), 1), Millis(0));
+    assert!(!runs.is_silent_at_peers(&id(), Millis(0)), "a single peer may be partitioned itself");
+    runs.hear("g3", report(vec![id()], 1), Millis(0));
     assert!(runs.is_silent_at_peers(&id(), Millis(0)));
-    assert!(!runs.is_silent_at_peers(&id(), Millis(4_000)), "old words count for nothing");
+    assert!(!runs.is_silent_at_peers(&id(), Millis(4_000)), "outdated reports are ignored");
 }
--- a/crates/bulrushusher_forward/tests/starts.rs
+++ b/crates/bulrushusher_forward/tests/starts.rs
@@ -1,5 +1,5 @@
-//! Runners that start again under their identity: the last start counts, whatever order its words
-//! come in.
+//! Runners that restart under the same identity: the latest start takes effect, in whatever order
+//! statements about starts arrive.
 
 use std::collections::BTreeMap;
 
@@ -12,47 +12,47 @@
 
 fn runner(n: u8, born: Option<u64>, leaving: bool) -> Runner {
     Runner {
-        id: format!("i-{n}").as_str().try_into().expect("a good name"),
+        id: format!("i-{n}").as_str().try_into().expect("valid name"),
         born: born.map(Born),
-        service: "app".try_into().expect("a good name"),
+        service: "app".try_into().expect("valid name"),
         address: ([10, 0, 0, 1], 8_000 + u16::from(n)).into(),
-        data_centre: "dc-1".try_into().expect("a good name"),
+        data_centre: "dc-1".try_into().expect("valid name"),
         slots: 4,
         stage: None,
         leaving,
     }
 }
 
-/// What is said of a runner.
+/// A statement about a runner.
 #[derive(Clone, Debug)]
-enum Said {
+enum Statement {
     Entry { n: u8, born: Option<u64>, leaving: bool },
-    OwnWord { n: u8, born: u64 },
+    OwnReport { n: u8, born: u64 },
     Removed { n: u8 },
 }
 
-fn said() -> impl Strategy<Value = Vec<Said>> {
+fn statements() -> impl Strategy<Value = Vec<Statement>> {
     let n = || 0_u8..3;
-    let said = prop_oneof![
+    let statement = prop_oneof![
         4 => (n(), prop::option::weighted(0.8, 0_u64..4), any::<bool>())
-            .prop_map(|(n, born, leaving)| Said::Entry { n, born, leaving }),
-        2 => (n(), 0_u64..4).prop_map(|(n, born)| Said::OwnWord { n, born }),
-        1 => n().prop_map(|n| Said::Removed { n }),
+            .prop_map(|(n, born, leaving)| Statement::Entry { n, born, leaving }),
+        2 => (n(), 0_u64..4).prop_map(|(n, born)| Statement::OwnReport { n, born }),
+        1 => n().prop_map(|n| Statement::Removed { n }),
     ];
-    prop::collection::vec(said, 1..30)
+    prop::collection::vec(statement, 1..30)
 }
 
-/// The oracle: the highest start told of each runner, and what its last good entry said.
+/// Reference model: the latest reported start of each runner, and its last accepted entry.
 #[derive(Default)]
-struct Oracle {
+struct Model {
     born: BTreeMap<u8, u64>,
     leaving: BTreeMap<u8, bool>,
 }
 
-impl Oracle {
-    fn take_in(&mut self, said: &Said) {
-        match *said {
-            Said::Entry { n, born, leaving } => match (self.born.get(&n).copied(), born) {
+impl Model {
+    fn apply(&mut self, statement: &Statement) {
+        match *statement {
+            Statement::Entry { n, born, leaving } => match (self.born.get(&n).copied(), born) {
                 (Some(_), None) => drop(self.leaving.remove(&n)),
                 (Some(last), Some(born)) if born < last => {}
                 (_, born) => {
@@ -60,11 +60,11 @@
                     self.leaving.insert(n, leaving);
                 }
             },
-            Said::OwnWord { n, born } => {
+            Statement::OwnReport { n, born } => {
                 let last = self.born.entry(n).or_insert(born);
                 *last = (*last).max(born);
             }
-            Said::Removed { n } => drop(self.leaving.remove(&n)),
+            Statement::Removed { n } => drop(self.leaving.remove(&n)),
         }
     }
 }
@@ -78,24 +78,24 @@
     })]
 
     #[test]
-    fn the_last_start_counts_in_whatever_order_words_come(said in said()) {
+    fn the_latest_start_takes_effect_in_any_order_of_statements(statements in statements()) {
         let mut members = Members::new(MembersConfig::default());
-        let mut oracle = Oracle::default();
+        let mut model = Model::default();
         let now = Millis(1_000);
         members.store_answered(now);
-        for said in &said {
-            match *said {
-                Said::Entry { n, born, leaving } => drop(members.put(runner(n, born, leaving))),
-                Said::OwnWord { n, born } => {
+        for statement in &statements {
+            match *statement {
+                Statement::Entry { n, born, leaving } => drop(members.put(runner(n, born, leaving))),
+                Statement::OwnReport { n, born } => {
                     members.note_start(&runner(n, None, false).id, Some(Born(born)));
                 }
-                Said::Removed { n } => members.remove(&runner(n, None, false).id, now),
+                Statement::Removed { n } => members.remove(&runner(n, None, false).id, now),
             }
-            oracle.take_in(said);
+            model.apply(statement);
             for n in 0..3 {
                 let known = members.get(&runner(n, None, false).id, now);
-                prop_assert_eq!(known.map(|known| known.leaving), oracle.leaving.get(&n).copied());
-                let last = oracle.born.get(&n).copied();
+                prop_assert_eq!(known.map(|known| known.leaving), model.leaving.get(&n).copied());
+                let last = model.born.get(&n).copied();
                 for born in 0..4 {
                     let is_past = members.is_past(&runner(n, Some(born), false));
                     prop_assert_eq!(is_past, last.is_some_and(|last| last > born));
@@ -106,25 +106,25 @@
 }
 
 #[test]
-fn a_list_tells_who_started_again() {
+fn a_full_list_reports_restarted_runners() {
     let mut members = Members::new(MembersConfig::default());
     let now = Millis(1_000);
     members.replace_all(vec![runner(0, Some(5), false), runner(1, Some(5), false)], now);
     let news = members.replace_all(vec![runner(0, Some(6), false), runner(1, Some(4), true)], now);
     assert_eq!(news.started_again, vec![runner(0, None, false).id]);
     assert!(news.missing.is_empty());
-    let kept = members.get(&runner(1, None, false).id, now).expect("it is listed");
-    assert!(!kept.leaving, "an earlier start says nothing of this one");
+    let kept = members.get(&runner(1, None, false).id, now).expect("still listed");
+    assert!(!kept.leaving, "the entry of an earlier start is ignored");
     assert_eq!(members.put(runner(1, None, false)), StartNews::Untold);
-    assert!(members.get(&kept_id(), now).is_none());
+    assert!(members.get(&second_id(), now).is_none());
 }
 
-fn kept_id() -> bulrushusher_world::RunnerId {
+fn second_id() -> bulrushusher_world::RunnerId {
     runner(1, None, false).id
 }
 
 #[test]
-fn calls_to_a_forgotten_runner_do_not_count_off_later_ones() {
+fn ending_a_call_to_a_forgotten_runner_leaves_later_calls_counted() {
     let mut loads = RunnerLoads::new(LoadConfig::default());
     let id = runner(0, None, false).id;
     let before = loads.begin(&id, 5_000);
