--- a/crates/bulrushusher_forward/src/gateways.rs
+++ b/crates/bulrushusher_forward/src/gateway_directory.rs
@@ -13,37 +13,37 @@
 
 /// Limits of the directory of other gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GatewaysConfig {
+pub struct GatewayDirectoryConfig {
     /// Time after its last message or discovery during which a gateway is sent each change.
-    pub told_for: Millis,
+    pub active_for: Millis,
     /// Silence after which an announcement is removed.
     pub gone_after: Millis,
     /// Maximum number of known gateways; beyond it the one silent for longest is evicted.
-    pub most: usize,
+    pub max_gateways: usize,
     /// Maximum number of announcements that one gateway removes per check.
-    pub most_removed: usize,
+    pub max_removals: usize,
 }
 
-impl Default for GatewaysConfig {
+impl Default for GatewayDirectoryConfig {
     /// A gateway sends a message at least every 0.7 s. One that was silent for ten seconds is dead
     /// or partitioned and gets full reports only. After a minute its share of quotas and rate
     /// limits is free for the others; a VM that returns later, or a data centre partitioned for
     /// longer, announces itself again. The capacity is ten times the design size of a fleet, at
     /// some hundred bytes per gateway. Few removals per check keep the store's write rate low after
     /// many gateways fail at once.
-    fn default() -> GatewaysConfig {
-        GatewaysConfig {
-            told_for: Millis(10_000),
+    fn default() -> GatewayDirectoryConfig {
+        GatewayDirectoryConfig {
+            active_for: Millis(10_000),
             gone_after: Millis(60_000),
-            most: 4_096,
-            most_removed: 8,
+            max_gateways: 4_096,
+            max_removals: 8,
         }
     }
 }
 
 /// A gateway's announcement in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Announced {
+pub struct GatewayAnnouncement {
     /// Name of its VM.
     pub name: Arc<str>,
     /// Address at which it receives messages of other gateways.
@@ -70,9 +70,9 @@
 
 /// Result of comparing the directory with a full list of announcements.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ListedGateways {
+pub struct AnnouncementDiff {
     /// Gateways that are new, or announce a new address.
-    pub found: Vec<Announced>,
+    pub discovered: Vec<GatewayAnnouncement>,
     /// True when this gateway's own announcement is missing.
     pub own_is_missing: bool,
 }
@@ -80,34 +80,34 @@
 /// The other gateways, as known to one gateway.
 ///
 /// ```
-/// use bulrushusher_forward::{Announced, Gateways, GatewaysConfig};
+/// use bulrushusher_forward::{GatewayAnnouncement, GatewayDirectory, GatewayDirectoryConfig};
 /// use bulrushusher_time::Millis;
-/// let cfg = GatewaysConfig::default();
-/// let mut gateways = Gateways::new(cfg, "entry-1".into());
+/// let cfg = GatewayDirectoryConfig::default();
+/// let mut gateways = GatewayDirectory::new(cfg, "entry-1".into());
 /// let address = "10.0.0.2:7000".parse().unwrap();
-/// let announced = Announced { name: "entry-2".into(), address, revision: 9 };
-/// let listed = gateways.list(&[announced.clone()], Millis(0));
-/// assert_eq!((listed.found, listed.own_is_missing), (vec![announced], true));
+/// let announcement = GatewayAnnouncement { name: "entry-2".into(), address, revision: 9 };
+/// let diff = gateways.apply_announcements(&[announcement.clone()], Millis(0));
+/// assert_eq!((diff.discovered, diff.own_is_missing), (vec![announcement], true));
 /// // It is sent each change for a limited time, and full reports for as long as it is announced.
-/// assert_eq!(gateways.told(Millis(500)), [address]);
-/// assert!(gateways.told(cfg.told_for).is_empty());
-/// assert_eq!(gateways.all(), [address]);
+/// assert_eq!(gateways.active_addresses(Millis(500)), [address]);
+/// assert!(gateways.active_addresses(cfg.active_for).is_empty());
+/// assert_eq!(gateways.all_addresses(), [address]);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Gateways {
-    cfg: GatewaysConfig,
+pub struct GatewayDirectory {
+    cfg: GatewayDirectoryConfig,
     own_name: Arc<str>,
     gateways: HashMap<Arc<str>, Gateway>,
 }
 
-impl Gateways {
+impl GatewayDirectory {
     /// Creates an empty directory for the gateway named `own_name`.
-    pub fn new(cfg: GatewaysConfig, own_name: Arc<str>) -> Gateways {
-        Gateways { cfg, own_name, gateways: HashMap::new() }
+    pub fn new(cfg: GatewayDirectoryConfig, own_name: Arc<str>) -> GatewayDirectory {
+        GatewayDirectory { cfg, own_name, gateways: HashMap::new() }
     }
 
     /// Records a message from a gateway; returns true when it is new or has a new address.
-    pub fn hear(&mut self, name: &str, address: SocketAddr, now: Millis) -> bool {
+    pub fn record_message(&mut self, name: &str, address: SocketAddr, now: Millis) -> bool {
         let gateway = self.gateways.get_mut(name);
         if let Some(gateway) = gateway.filter(|gateway| gateway.address == address) {
             gateway.last_message = Some(now);
@@ -123,51 +123,56 @@
 
     /// Applies a full list of announcements. Gateways that are neither announced nor active are
     /// dropped.
-    pub fn list(&mut self, all: &[Announced], now: Millis) -> ListedGateways {
-        let mut listed = ListedGateways { own_is_missing: true, ..ListedGateways::default() };
-        for announced in all {
-            if announced.name == self.own_name {
-                listed.own_is_missing = false;
-            } else if self.apply_announcement(announced, now) {
-                listed.found.push(announced.clone());
+    pub fn apply_announcements(
+        &mut self,
+        announcements: &[GatewayAnnouncement],
+        now: Millis,
+    ) -> AnnouncementDiff {
+        let mut diff = AnnouncementDiff { own_is_missing: true, ..AnnouncementDiff::default() };
+        for announcement in announcements {
+            if announcement.name == self.own_name {
+                diff.own_is_missing = false;
+            } else if self.apply_announcement(announcement, now) {
+                diff.discovered.push(announcement.clone());
             }
         }
-        let told_for = self.cfg.told_for;
-        let names: HashSet<&str> = all.iter().map(|announced| &*announced.name).collect();
+        let active_for = self.cfg.active_for;
+        let names: HashSet<&str> =
+            announcements.iter().map(|announcement| &*announcement.name).collect();
         self.gateways.retain(|name, gateway| {
             gateway.announced_revision =
                 gateway.announced_revision.filter(|_| names.contains(&**name));
-            gateway.announced_revision.is_some() || now.since(gateway.last_activity()) < told_for
+            gateway.announced_revision.is_some() || now.since(gateway.last_activity()) < active_for
         });
-        listed
+        diff
     }
 
     /// Returns true when the gateway is new or has a new address. The address of a recent message
     /// takes precedence over the announcement, which may stem from the gateway's previous start. A
     /// rewritten announcement counts as a sign of life.
-    fn apply_announcement(&mut self, announced: &Announced, now: Millis) -> bool {
-        let (address, revision) = (announced.address, Some(announced.revision));
-        let told_for = self.cfg.told_for;
-        if let Some(gateway) = self.gateways.get_mut(&announced.name) {
+    fn apply_announcement(&mut self, announcement: &GatewayAnnouncement, now: Millis) -> bool {
+        let (address, revision) = (announcement.address, Some(announcement.revision));
+        let active_for = self.cfg.active_for;
+        if let Some(gateway) = self.gateways.get_mut(&announcement.name) {
             if gateway.announced_revision.is_some() && gateway.announced_revision != revision {
                 gateway.changed_at = now;
             }
             gateway.announced_revision = revision;
             let has_recent_message =
-                gateway.last_message.is_some_and(|at| now.since(at) < told_for);
+                gateway.last_message.is_some_and(|at| now.since(at) < active_for);
             if gateway.address == address || has_recent_message {
                 return false;
             }
         }
         let gateway =
             Gateway { address, changed_at: now, last_message: None, announced_revision: revision };
-        self.insert(announced.name.clone(), gateway);
+        self.insert(announcement.name.clone(), gateway);
         true
     }
 
     fn insert(&mut self, name: Arc<str>, gateway: Gateway) {
         self.gateways.insert(name, gateway);
-        if self.gateways.len() > self.cfg.most {
+        if self.gateways.len() > self.cfg.max_gateways {
             let oldest = self
                 .gateways
                 .iter()
@@ -179,19 +184,19 @@
     }
 
     /// Addresses of active gateways: those to send each change to.
-    pub fn told(&self, now: Millis) -> Vec<SocketAddr> {
+    pub fn active_addresses(&self, now: Millis) -> Vec<SocketAddr> {
         self.active(now).map(|(_, gateway)| gateway.address).collect()
     }
 
     /// Names and addresses of active gateways.
-    pub fn told_by_name(&self, now: Millis) -> Vec<(Arc<str>, SocketAddr)> {
+    pub fn active_gateways(&self, now: Millis) -> Vec<(Arc<str>, SocketAddr)> {
         self.active(now).map(|(name, gateway)| (name.clone(), gateway.address)).collect()
     }
 
     fn active(&self, now: Millis) -> impl Iterator<Item = (&Arc<str>, &Gateway)> {
         self.gateways
             .iter()
-            .filter(move |(_, gateway)| now.since(gateway.last_activity()) < self.cfg.told_for)
+            .filter(move |(_, gateway)| now.since(gateway.last_activity()) < self.cfg.active_for)
     }
 
     /// Address at which a gateway receives messages.
@@ -201,7 +206,7 @@
 
     /// Addresses of all known gateways. Full reports go to all of them, so that gateways behind a
     /// healed partition are reached too.
-    pub fn all(&self) -> Vec<SocketAddr> {
+    pub fn all_addresses(&self) -> Vec<SocketAddr> {
         self.gateways.values().map(|gateway| gateway.address).collect()
     }
 
@@ -209,10 +214,10 @@
     /// unchanged. Empty while no other gateway is heard, as this gateway may be the partitioned
     /// one. Among gateways that hear each other, rendezvous hashing assigns each announcement to
     /// one of them. Across a partition each announcement is removed and rewritten once per
-    /// [`GatewaysConfig::gone_after`].
-    pub fn to_remove(&self, now: Millis) -> Vec<Announced> {
+    /// [`GatewayDirectoryConfig::gone_after`].
+    pub fn expired_announcements(&self, now: Millis) -> Vec<GatewayAnnouncement> {
         let has_recent_message = |gateway: &Gateway| {
-            gateway.last_message.is_some_and(|at| now.since(at) < self.cfg.told_for)
+            gateway.last_message.is_some_and(|at| now.since(at) < self.cfg.active_for)
         };
         let announced =
             self.gateways.iter().filter(|(_, gateway)| gateway.announced_revision.is_some());
@@ -223,14 +228,14 @@
             .filter(|(_, gateway)| now.since(gateway.last_activity()) >= self.cfg.gone_after);
         let assigned =
             expired.filter(|(name, _)| self.is_responsible_for(name, has_recent_message));
-        let mut assigned: Vec<Announced> = assigned
+        let mut assigned: Vec<GatewayAnnouncement> = assigned
             .filter_map(|(name, gateway)| {
                 let (name, address) = (name.clone(), gateway.address);
-                Some(Announced { name, address, revision: gateway.announced_revision? })
+                Some(GatewayAnnouncement { name, address, revision: gateway.announced_revision? })
             })
             .collect();
         assigned.sort_by(|a, b| a.name.cmp(&b.name));
-        assigned.truncate(self.cfg.most_removed);
+        assigned.truncate(self.cfg.max_removals);
         assigned
     }
 
--- a/crates/bulrushusher_forward/src/lib.rs
+++ b/crates/bulrushusher_forward/src/lib.rs
@@ -10,7 +10,7 @@
 mod choose;
 mod events;
 mod forecast;
-mod gateways;
+mod gateway_directory;
 mod health;
 mod limit_share;
 mod load;
@@ -49,7 +49,9 @@
 pub use choose::{Candidate, PlainPick, pick_for_call, pick_for_prefill, rank_for_decode};
 pub use events::{EventSplitter, WholeEvents};
 pub use forecast::{ForecastConfig, LengthModel, MemoryForecast, MemoryNeed, RunShape};
-pub use gateways::{Announced, Gateways, GatewaysConfig, ListedGateways};
+pub use gateway_directory::{
+    AnnouncementDiff, GatewayAnnouncement, GatewayDirectory, GatewayDirectoryConfig,
+};
 pub use health::{HealthConfig, RunCounts, RunnerHealth};
 pub use load::{CallResult, LoadConfig, LoadLife, RunnerLoads};
 pub use members::{DrainReport, ListNews, Members, MembersConfig};
--- a/crates/bulrushusher_forward/tests/gateways.rs
+++ b/crates/bulrushusher_forward/tests/gateways.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use bulrushusher_forward::{Announced, Gateways, GatewaysConfig};
+use bulrushusher_forward::{GatewayAnnouncement, GatewayDirectory, GatewayDirectoryConfig};
 use bulrushusher_time::Millis;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -22,7 +22,7 @@
 
 /// Gateways that exchange full reports, and the store with their announcements.
 struct Fleet {
-    gateways: BTreeMap<usize, Gateways>,
+    gateways: BTreeMap<usize, GatewayDirectory>,
     /// Name, address and revision of each announcement.
     store: BTreeMap<usize, (SocketAddr, u64)>,
     starts: BTreeMap<usize, u64>,
@@ -49,7 +49,7 @@
     fn start(&mut self, n: usize) {
         let start = self.starts.get(&n).map_or(0, |start| start + 1);
         self.starts.insert(n, start);
-        self.gateways.insert(n, Gateways::new(GatewaysConfig::default(), name(n)));
+        self.gateways.insert(n, GatewayDirectory::new(GatewayDirectoryConfig::default(), name(n)));
         self.announce(n);
     }
 
@@ -64,10 +64,10 @@
         self.now = self.now.plus(READ_INTERVAL);
         // Reports were exchanged during the whole interval.
         self.exchange_reports(&is_partitioned);
-        let all: Vec<Announced> = self
+        let announcements: Vec<GatewayAnnouncement> = self
             .store
             .iter()
-            .map(|(n, (address, revision))| Announced {
+            .map(|(n, (address, revision))| GatewayAnnouncement {
                 name: name(*n),
                 address: *address,
                 revision: *revision,
@@ -76,16 +76,16 @@
         let mut missing = Vec::new();
         let mut removed = Vec::new();
         for (n, gateway) in &mut self.gateways {
-            if gateway.list(&all, self.now).own_is_missing {
+            if gateway.apply_announcements(&announcements, self.now).own_is_missing {
                 missing.push(*n);
             }
-            removed.extend(gateway.to_remove(self.now));
+            removed.extend(gateway.expired_announcements(self.now));
         }
         self.exchange_reports(&is_partitioned);
-        for announced in removed {
-            let found = self.store.iter().find(|(n, _)| name(**n) == announced.name);
+        for announcement in removed {
+            let found = self.store.iter().find(|(n, _)| name(**n) == announcement.name);
             // An announcement is removed only at its expected revision.
-            let n = found.filter(|(_, held)| held.1 == announced.revision).map(|(n, _)| *n);
+            let n = found.filter(|(_, held)| held.1 == announcement.revision).map(|(n, _)| *n);
             if let Some(n) = n {
                 self.store.remove(&n);
                 self.writes += 1;
@@ -100,7 +100,7 @@
         let sent: Vec<(usize, SocketAddr)> = self
             .gateways
             .iter()
-            .flat_map(|(n, gateway)| gateway.all().into_iter().map(move |to| (*n, to)))
+            .flat_map(|(n, gateway)| gateway.all_addresses().into_iter().map(move |to| (*n, to)))
             .collect();
         for (from, to) in sent {
             let Some(to) = at.get(&to).copied().filter(|to| !is_partitioned(from, *to)) else {
@@ -108,14 +108,14 @@
             };
             let sender_address = address(from, self.starts[&from]);
             if let Some(gateway) = self.gateways.get_mut(&to) {
-                gateway.hear(&name(from), sender_address, self.now);
+                gateway.record_message(&name(from), sender_address, self.now);
             }
         }
     }
 
     /// Addresses to which a gateway sends each change.
     fn recipients(&self, n: usize) -> BTreeSet<SocketAddr> {
-        self.gateways[&n].told(self.now).into_iter().collect()
+        self.gateways[&n].active_addresses(self.now).into_iter().collect()
     }
 
     fn others(&self, n: usize) -> BTreeSet<SocketAddr> {
@@ -125,7 +125,7 @@
 }
 
 fn rounds_until_cleanup() -> usize {
-    (GatewaysConfig::default().gone_after.0 / READ_INTERVAL.0) as usize + 2
+    (GatewayDirectoryConfig::default().gone_after.0 / READ_INTERVAL.0) as usize + 2
 }
 
 /// Replaced VMs have new names. Announcements of the old ones are removed shortly after
@@ -156,7 +156,8 @@
     const HOUR: usize = 240;
     let before = fleet.writes;
     (0..HOUR).for_each(|_| fleet.run_round(is_partitioned));
-    let periods = HOUR * READ_INTERVAL.0 as usize / GatewaysConfig::default().gone_after.0 as usize;
+    let periods =
+        HOUR * READ_INTERVAL.0 as usize / GatewayDirectoryConfig::default().gone_after.0 as usize;
     assert!(fleet.writes - before <= 2 * 20 * periods, "{} writes", fleet.writes - before);
     (0..3).for_each(|_| fleet.run_round(|_, _| false));
     for n in 0..20 {
@@ -166,12 +167,12 @@
 
 #[test]
 fn the_number_of_known_gateways_is_bounded() {
-    let cfg = GatewaysConfig { most: 50, ..GatewaysConfig::default() };
-    let mut gateways = Gateways::new(cfg, name(9_999));
+    let cfg = GatewayDirectoryConfig { max_gateways: 50, ..GatewayDirectoryConfig::default() };
+    let mut gateways = GatewayDirectory::new(cfg, name(9_999));
     for n in 0..1_000 {
-        gateways.hear(&name(n), address(n, 0), Millis(n as u64));
+        gateways.record_message(&name(n), address(n, 0), Millis(n as u64));
     }
-    let all = gateways.all();
+    let all = gateways.all_addresses();
     assert_eq!(all.len(), 50);
     assert!(
         all.contains(&address(999, 0)) && !all.contains(&address(0, 0)),
--- a/crates/bulrushusher_gateway/src/peers/announcing.rs
+++ b/crates/bulrushusher_gateway/src/peers/announcing.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use bulrushusher_forward::{Announced, Gateways, ListedGateways};
+use bulrushusher_forward::{AnnouncementDiff, GatewayAnnouncement, GatewayDirectory};
 use bulrushusher_time::Millis;
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -47,7 +47,7 @@
     /// Where this gateway hears others.
     address: SocketAddr,
     /// The gateways that are known.
-    pub known: Mutex<Gateways>,
+    pub known: Mutex<GatewayDirectory>,
     made: Mutex<Option<Made>>,
 }
 
@@ -59,7 +59,7 @@
         address: SocketAddr,
     ) -> Announcer<S> {
         let cfg = knowledge.cfg();
-        let known = Mutex::new(Gateways::new(cfg.gateways, cfg.name.as_str().into()));
+        let known = Mutex::new(GatewayDirectory::new(cfg.gateways, cfg.name.as_str().into()));
         Announcer { store, knowledge, lifecycle, address, known, made: Mutex::new(None) }
     }
 
@@ -146,14 +146,14 @@
             self.announce().await;
         }
         self.clean().await;
-        listed.found.into_iter().map(|announced| announced.address).collect()
+        listed.discovered.into_iter().map(|announced| announced.address).collect()
     }
 
-    fn take_in(&self, announced: Vec<Announcement>) -> ListedGateways {
-        let readable: Vec<Announced> = announced.into_iter().filter_map(read).collect();
+    fn take_in(&self, announced: Vec<Announcement>) -> AnnouncementDiff {
+        let readable: Vec<GatewayAnnouncement> = announced.into_iter().filter_map(read).collect();
         self.knowledge.note_announced(readable.len().saturating_sub(1));
-        let listed = self.known.lock().list(&readable, self.knowledge.now());
-        for Announced { name, address, .. } in &listed.found {
+        let listed = self.known.lock().apply_announcements(&readable, self.knowledge.now());
+        for GatewayAnnouncement { name, address, .. } in &listed.discovered {
             log::info!("peers: found name={name} address={address}");
         }
         listed
@@ -166,8 +166,8 @@
 
     /// Removes announcements of gateways that are gone, each only if nobody wrote it anew.
     async fn clean(&self) {
-        let gone = self.known.lock().to_remove(self.knowledge.now());
-        for Announced { name, revision, .. } in gone {
+        let gone = self.known.lock().expired_announcements(self.knowledge.now());
+        for GatewayAnnouncement { name, revision, .. } in gone {
             match self.store.retract(&name, revision, STORE_TIMEOUT).await {
                 Ok(done) => log::info!("peers: announcement of {name} removed done={done}"),
                 Err(e) => log::info!("peers: announcement of {name} stays cause=\"{e}\""),
@@ -177,10 +177,12 @@
 }
 
 /// An announcement, unless another writer left something else there.
-fn read(announcement: Announcement) -> Option<Announced> {
+fn read(announcement: Announcement) -> Option<GatewayAnnouncement> {
     let Announcement { gateway, value, revision } = announcement;
     match serde_json::from_value::<OwnWord>(value) {
-        Ok(word) => Some(Announced { name: gateway.into(), address: word.address, revision }),
+        Ok(word) => {
+            Some(GatewayAnnouncement { name: gateway.into(), address: word.address, revision })
+        }
         Err(e) => {
             log::warn!("peers: announcement of {gateway} cannot be read cause=\"{e}\"");
             None
--- a/crates/bulrushusher_gateway/src/peers/relaying.rs
+++ b/crates/bulrushusher_gateway/src/peers/relaying.rs
@@ -140,7 +140,7 @@
             let after = self.told_store.load(Ordering::Relaxed);
             let delta = self.knowledge.delta(&DeltaRequest { after, page_after: None });
             let now = self.knowledge.now();
-            let known = self.announcer.known.lock().told_by_name(now);
+            let known = self.announcer.known.lock().active_gateways(now);
             let listeners = self.knowledge.listeners(&known);
             if listeners.is_empty() {
                 continue;
--- a/crates/bulrushusher_gateway/src/peers/speaking.rs
+++ b/crates/bulrushusher_gateway/src/peers/speaking.rs
@@ -84,7 +84,7 @@
     /// each other by the square of their number.
     async fn note_heard(&self, socket: &UdpSocket, name: &str, address: SocketAddr) {
         let now = self.knowledge.now();
-        if self.announcer.known.lock().hear(name, address, now) {
+        if self.announcer.known.lock().record_message(name, address, now) {
             log::info!("peers: found name={name} address={address}");
             self.answer(socket, address).await;
         }
@@ -172,8 +172,8 @@
                 let known = self.announcer.known.lock();
                 match word {
                     // Whoever was cut off hears of this gateway again by a whole report.
-                    Word::Whole(_) => known.all(),
-                    _ => known.told(self.knowledge.now()),
+                    Word::Whole(_) => known.all_addresses(),
+                    _ => known.active_addresses(self.knowledge.now()),
                 }
             };
             self.write(socket, word, &peers).await;
@@ -196,7 +196,7 @@
                 times = CRASHES_TOLD;
             }
             news.add(new);
-            let peers = self.announcer.known.lock().all();
+            let peers = self.announcer.known.lock().all_addresses();
             self.write(socket, Word::Crashes(news.clone()), &peers).await;
             times = times.saturating_sub(1);
             if times == 0 {
--- a/crates/bulrushusher_gateway/src/settings.rs
+++ b/crates/bulrushusher_gateway/src/settings.rs
@@ -5,8 +5,8 @@
 use bulrushusher_accounts::{QuotaConfig, Sharing};
 use bulrushusher_config::{ConfigError, Kind, Program, Setting, Values, setting};
 use bulrushusher_forward::{
-    ForecastConfig, GatewaysConfig, HoldConfig, LineOrder, LoadConfig, MembersConfig, ReturnConfig,
-    ShutdownConfig, StagesConfig, WaitingConfig,
+    ForecastConfig, GatewayDirectoryConfig, HoldConfig, LineOrder, LoadConfig, MembersConfig,
+    ReturnConfig, ShutdownConfig, StagesConfig, WaitingConfig,
 };
 use bulrushusher_routing::{QuarantineConfig, RetryConfig};
 use bulrushusher_time::Millis;
@@ -262,7 +262,7 @@
     /// When a request that crashes runners is run no more.
     pub quarantine: QuarantineConfig,
     /// When other gateways count as gone.
-    pub gateways: GatewaysConfig,
+    pub gateways: GatewayDirectoryConfig,
     /// How much memory is held.
     pub holds: HoldConfig,
     /// How cautious forecasts of memory are.
@@ -346,9 +346,9 @@
                 lasts: Millis((values.real("quarantine", "lasts_s") * 1_000.0) as u64),
                 ..QuarantineConfig::default()
             },
-            gateways: GatewaysConfig {
+            gateways: GatewayDirectoryConfig {
                 gone_after: Millis((values.real("gateways", "gone_after_s") * 1_000.0) as u64),
-                ..GatewaysConfig::default()
+                ..GatewayDirectoryConfig::default()
             },
             holds: HoldConfig { per_expected_output: values.real("holds", "per_expected_output") },
             forecast: ForecastConfig {
