--- a/crates/bulrushusher_forward/benches/place.rs
+++ b/crates/bulrushusher_forward/benches/place.rs
@@ -3,8 +3,8 @@
 //! `cargo bench -p bulrushusher_forward` runs it.
 
 use bulrushusher_forward::{
-    Candidate, ForecastConfig, GatewayReport, LengthModel, LoadConfig, Members, MembersConfig,
-    MemoryForecast, PeersConfig, RunNote, RunShape, Runner, RunnerLoads, Runs, Stage,
+    Candidate, ForecastConfig, GatewayReport, LengthModel, LoadConfig, MemoryForecast, PeersConfig,
+    RunNote, RunShape, Runner, RunnerDirectory, RunnerDirectoryConfig, RunnerLoads, Runs, Stage,
     rank_for_decode,
 };
 use bulrushusher_time::Millis;
@@ -18,7 +18,7 @@
 
 struct Pool {
     service: ServiceName,
-    members: Members,
+    members: RunnerDirectory,
     loads: RunnerLoads,
     runs: Runs,
     forecast: MemoryForecast,
@@ -31,7 +31,7 @@
 /// A pool as one of its gateways sees it: the runs are spread over the others.
 fn pool(runners: usize, gateways: usize) -> Pool {
     let service: ServiceName = "llm".try_into().expect("a good name");
-    let mut members = Members::new(MembersConfig::default());
+    let mut members = RunnerDirectory::new(RunnerDirectoryConfig::default());
     for n in 0..runners {
         members.put(Runner {
             id: runner_id(n),
--- a/crates/bulrushusher_forward/src/choose.rs
+++ b/crates/bulrushusher_forward/src/choose.rs
@@ -5,13 +5,13 @@
 use bulrushusher_time::Millis;
 use bulrushusher_world::{DataCentreName, RunnerId, ServiceName};
 
-use crate::{Members, PressureView, Runner, RunnerLoads, Runs, Stage};
+use crate::{PressureView, Runner, RunnerDirectory, RunnerLoads, Runs, Stage};
 
 /// What a choice looks at.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
     /// Runners known.
-    pub members: &'a Members,
+    pub members: &'a RunnerDirectory,
     /// What this process has there.
     pub loads: &'a RunnerLoads,
     /// The service to serve.
--- a/crates/bulrushusher_forward/src/lib.rs
+++ b/crates/bulrushusher_forward/src/lib.rs
@@ -14,7 +14,6 @@
 mod health;
 mod limit_share;
 mod load;
-mod members;
 mod memory;
 mod moves;
 mod news;
@@ -36,6 +35,7 @@
 mod routing_delta;
 mod runner;
 mod runner_changes;
+mod runner_directory;
 mod runs;
 mod shutdown;
 mod signals;
@@ -54,7 +54,6 @@
 };
 pub use health::{HealthConfig, RunCounts, RunnerHealth};
 pub use load::{CallResult, LoadConfig, LoadLife, RunnerLoads};
-pub use members::{DrainReport, ListNews, Members, MembersConfig};
 pub use memory::{HoldConfig, tokens_to_hold};
 pub use moves::{MoveConfig, pick_for_move};
 pub use news::{NewsConfig, NewsSeen};
@@ -78,6 +77,7 @@
 pub use runner_changes::{
     ChangeLog, DeltaNews, DeltaPages, DeltaRequest, RunnerChange, RunnerDelta,
 };
+pub use runner_directory::{DrainReport, RunnerDirectory, RunnerDirectoryConfig, RunnerListDiff};
 pub use runs::{ChangesNews, PeersConfig, RunNumber, Runs};
 pub use shutdown::{Shutdown, ShutdownConfig};
 pub use signals::RunnerSignals;
@@ -88,7 +88,7 @@
 /// The most common types.
 pub mod prelude {
     pub use crate::{
-        AttemptEnd, AttemptPlan, Members, NextStep, PromptSize, RequestId, Route, RouteKind,
-        RoutingConfig, Runner, RunnerLoads, Stage, WaitingLine,
+        AttemptEnd, AttemptPlan, NextStep, PromptSize, RequestId, Route, RouteKind, RoutingConfig,
+        Runner, RunnerDirectory, RunnerLoads, Stage, WaitingLine,
     };
 }
--- a/crates/bulrushusher_forward/src/members.rs
+++ b/crates/bulrushusher_forward/src/runner_directory.rs
@@ -11,19 +11,19 @@
 
 /// Time limits of the runner directory.
 #[derive(Clone, Copy, Debug)]
-pub struct MembersConfig {
+pub struct RunnerDirectoryConfig {
     /// Store silence after which entries may have lapsed although their runners are alive.
     pub outage_after: Millis,
     /// How long a lapsed entry stays usable once the store answers again.
     pub return_grace: Millis,
 }
 
-impl Default for MembersConfig {
+impl Default for RunnerDirectoryConfig {
     /// The platform guarantees that entries of live runners are back within two seconds after the
     /// store returns. Entries lapse after three missed heartbeats, so a shorter silence lapses
     /// none.
-    fn default() -> MembersConfig {
-        MembersConfig { outage_after: Millis(1_500), return_grace: Millis(2_000) }
+    fn default() -> RunnerDirectoryConfig {
+        RunnerDirectoryConfig { outage_after: Millis(1_500), return_grace: Millis(2_000) }
     }
 }
 
@@ -53,17 +53,17 @@
 
 /// Changes made by a full list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ListNews {
+pub struct RunnerListDiff {
     /// Runners that the list no longer contains.
     pub missing: Vec<RunnerId>,
     /// Runners that restarted; their earlier state is invalid.
-    pub started_again: Vec<RunnerId>,
+    pub restarted: Vec<RunnerId>,
 }
 
 /// The known runners.
 ///
 /// ```
-/// use bulrushusher_forward::{Members, MembersConfig, Runner};
+/// use bulrushusher_forward::{RunnerDirectory, RunnerDirectoryConfig, Runner};
 /// use bulrushusher_time::Millis;
 /// let runner = Runner {
 ///     id: "i-1".try_into().unwrap(),
@@ -75,15 +75,15 @@
 ///     stage: None,
 ///     leaving: false,
 /// };
-/// let mut members = Members::new(MembersConfig::default());
-/// members.store_answered(Millis(0));
-/// members.put(runner.clone());
-/// members.remove(&runner.id, Millis(100));
-/// assert!(members.get(&runner.id, Millis(100)).is_none(), "removed while the store was well");
+/// let mut runners = RunnerDirectory::new(RunnerDirectoryConfig::default());
+/// runners.store_answered(Millis(0));
+/// runners.put(runner.clone());
+/// runners.remove(&runner.id, Millis(100));
+/// assert!(runners.get(&runner.id, Millis(100)).is_none(), "removed while the store was well");
 /// ```
 #[derive(Clone, Debug)]
-pub struct Members {
-    cfg: MembersConfig,
+pub struct RunnerDirectory {
+    cfg: RunnerDirectoryConfig,
     known: HashMap<RunnerId, Entry>,
     starts: Starts,
     last_answer: Option<Millis>,
@@ -112,10 +112,10 @@
     received_at: Millis,
 }
 
-impl Members {
+impl RunnerDirectory {
     /// Creates an empty directory.
-    pub fn new(cfg: MembersConfig) -> Members {
-        Members {
+    pub fn new(cfg: RunnerDirectoryConfig) -> RunnerDirectory {
+        RunnerDirectory {
             cfg,
             known: HashMap::new(),
             starts: Starts::default(),
@@ -131,9 +131,9 @@
     /// Records that a start of a runner announced its drain in a response; it gets no new work from
     /// then on, whatever its store entry says. The runner updates that entry later, and the store
     /// may be unavailable or restored from an older backup. Returns true when the notice is new.
-    pub fn note_leaving(&mut self, report: &DrainReport, now: Millis) -> bool {
+    pub fn record_drain_notice(&mut self, report: &DrainReport, now: Millis) -> bool {
         let DrainReport { runner, born } = report;
-        if self.starts.is_past(runner, *born) || self.has_said_that_it_leaves(runner, *born) {
+        if self.starts.is_past(runner, *born) || self.has_drain_notice(runner, *born) {
             return false;
         }
         let known = &self.known;
@@ -161,14 +161,14 @@
     }
 
     /// True when this start of the runner sent a drain notice.
-    pub fn has_said_that_it_leaves(&self, id: &RunnerId, born: Option<Born>) -> bool {
+    pub fn has_drain_notice(&self, id: &RunnerId, born: Option<Born>) -> bool {
         self.drain_notices.get(id).is_some_and(|notice| notice.born == born)
     }
 
     /// Records that the store was restored from an older backup. Entries missing from the backup
     /// are rewritten by their runners, as after an outage; entries in it may be outdated, for
     /// runners that have since begun to drain or have been removed.
-    pub fn note_restore(&mut self, now: Millis) {
+    pub fn record_store_restore(&mut self, now: Millis) {
         self.last_outage_end = Some(now);
         self.is_restored = true;
     }
@@ -179,16 +179,16 @@
         self.store_answered_after(Millis(0), now)
     }
 
-    /// Like [`Members::store_answered`], for a long poll of up to `wait`, during which no answer
-    /// was due.
+    /// Like [`RunnerDirectory::store_answered`], for a long poll of up to `wait`, during which no
+    /// answer was due.
     ///
     /// ```
-    /// use bulrushusher_forward::{Members, MembersConfig};
+    /// use bulrushusher_forward::{RunnerDirectory, RunnerDirectoryConfig};
     /// use bulrushusher_time::Millis;
-    /// let mut members = Members::new(MembersConfig::default());
-    /// members.store_answered(Millis(0));
-    /// assert_eq!(members.store_answered_after(Millis(8_000), Millis(8_010)), None);
-    /// assert!(members.store_answered_after(Millis(1_000), Millis(12_000)).is_some());
+    /// let mut runners = RunnerDirectory::new(RunnerDirectoryConfig::default());
+    /// runners.store_answered(Millis(0));
+    /// assert_eq!(runners.store_answered_after(Millis(8_000), Millis(8_010)), None);
+    /// assert!(runners.store_answered_after(Millis(1_000), Millis(12_000)).is_some());
     /// ```
     pub fn store_answered_after(&mut self, wait: Millis, now: Millis) -> Option<Millis> {
         let silent = self.last_answer.map(|at| now.since(at).since(wait));
@@ -201,12 +201,12 @@
     }
 
     /// Starts measuring the store's silence: this gateway sent it no requests before `now`.
-    pub fn begin_asking(&mut self, now: Millis) {
+    pub fn begin_store_polling(&mut self, now: Millis) {
         self.last_answer = Some(now);
     }
 
     /// Records the end of a store outage that a relay reported.
-    pub fn note_outage_end(&mut self, at: Millis) {
+    pub fn record_outage_end(&mut self, at: Millis) {
         self.last_outage_end = self.last_outage_end.max(Some(at));
     }
 
@@ -223,17 +223,17 @@
     }
 
     /// True once any entries are known, even if only the first page of a list.
-    pub fn is_begun(&self) -> bool {
+    pub fn has_entries(&self) -> bool {
         self.was_fully_listed || !self.known.is_empty()
     }
 
     /// True once a full list was applied.
-    pub fn is_complete(&self) -> bool {
+    pub fn has_full_list(&self) -> bool {
         self.was_fully_listed
     }
 
     /// Replaces the directory by a full list.
-    pub fn replace_all(&mut self, mut runners: Vec<Runner>, now: Millis) -> ListNews {
+    pub fn replace_all(&mut self, mut runners: Vec<Runner>, now: Millis) -> RunnerListDiff {
         if std::mem::take(&mut self.is_restored) {
             self.correct_restored_list(&mut runners, now);
         }
@@ -244,14 +244,14 @@
         for id in &missing {
             self.remove(id, now);
         }
-        let mut started_again = Vec::new();
+        let mut restarted = Vec::new();
         for (id, runner) in listed {
             if self.put(runner) == StartNews::Later {
-                started_again.push(id);
+                restarted.push(id);
             }
         }
         self.was_fully_listed = true;
-        ListNews { missing, started_again }
+        RunnerListDiff { missing, restarted }
     }
 
     /// Corrects a list from a restored backup: a removed runner comes back only by registering
@@ -277,7 +277,7 @@
             StartNews::Same | StartNews::Later => {
                 self.remove_lapsed_at_address(&runner);
                 self.removed.remove(&runner.id);
-                runner.leaving |= self.has_said_that_it_leaves(&runner.id, runner.born);
+                runner.leaving |= self.has_drain_notice(&runner.id, runner.born);
                 let known = Entry { runner, listing: Listing::Listed };
                 self.known.insert(known.runner.id.clone(), known);
             }
@@ -286,7 +286,7 @@
     }
 
     /// Records a start time that the runner reported itself, possibly before its entry shows it.
-    pub fn note_start(&mut self, id: &RunnerId, born: Option<Born>) -> StartNews {
+    pub fn record_start(&mut self, id: &RunnerId, born: Option<Born>) -> StartNews {
         let status = self.starts.note(id, born);
         if let (StartNews::Later, Some(known)) = (status, self.known.get_mut(id)) {
             known.runner.born = born;
@@ -296,7 +296,7 @@
 
     /// True when a later start under the identity of `runner` is known; memory holds, KV caches and
     /// runs of the earlier one are lost.
-    pub fn is_past(&self, runner: &Runner) -> bool {
+    pub fn is_superseded(&self, runner: &Runner) -> bool {
         self.starts.is_past(&runner.id, runner.born)
     }
 
--- a/crates/bulrushusher_forward/tests/fuzz.rs
+++ b/crates/bulrushusher_forward/tests/fuzz.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bulrushusher_forward::{
-    AttemptEnd, AttemptPlan, EventSplitter, FinalAnswer, Members, MembersConfig, NextStep,
-    PlainPick, RouteKind, Runner, RunnerLoads, Shutdown, ShutdownConfig, pick_for_call,
+    AttemptEnd, AttemptPlan, EventSplitter, FinalAnswer, NextStep, PlainPick, RouteKind, Runner,
+    RunnerDirectory, RunnerDirectoryConfig, RunnerLoads, Shutdown, ShutdownConfig, pick_for_call,
 };
 use bulrushusher_forward::{Candidate, LoadConfig};
 use bulrushusher_routing::{RetryBudget, RetryConfig};
@@ -240,8 +240,8 @@
 
     #[test]
     fn only_runners_that_the_store_vouched_for_get_work(events in events(), draw in 0.0_f64..1.0) {
-        let cfg = MembersConfig::default();
-        let mut members = Members::new(cfg);
+        let cfg = RunnerDirectoryConfig::default();
+        let mut members = RunnerDirectory::new(cfg);
         let mut said = Said::default();
         let mut now = Millis(10_000);
         members.store_answered(now);
--- a/crates/bulrushusher_forward/tests/plain_calls.rs
+++ b/crates/bulrushusher_forward/tests/plain_calls.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use bulrushusher_forward::{
-    CallResult, Candidate, LoadConfig, Members, MembersConfig, PlainPick, Runner, RunnerLoads,
-    pick_for_call,
+    CallResult, Candidate, LoadConfig, PlainPick, Runner, RunnerDirectory, RunnerDirectoryConfig,
+    RunnerLoads, pick_for_call,
 };
 use bulrushusher_time::Millis;
 use bulrushusher_world::RunnerId;
@@ -15,7 +15,7 @@
 
 /// A pool of plain runners, as one gateway sees it.
 struct Pool {
-    members: Members,
+    members: RunnerDirectory,
     loads: RunnerLoads,
     rng: ChaCha8Rng,
     now: Millis,
@@ -36,7 +36,7 @@
 
 impl Pool {
     fn new(runners: usize) -> Pool {
-        let mut members = Members::new(MembersConfig::default());
+        let mut members = RunnerDirectory::new(RunnerDirectoryConfig::default());
         members.replace_all((0..runners).map(runner).collect(), Millis(0));
         let loads = RunnerLoads::new(LoadConfig::default());
         Pool { members, loads, rng: ChaCha8Rng::seed_from_u64(7), now: Millis(10_000) }
--- a/crates/bulrushusher_forward/tests/starts.rs
+++ b/crates/bulrushusher_forward/tests/starts.rs
@@ -4,7 +4,8 @@
 use std::collections::BTreeMap;
 
 use bulrushusher_forward::{
-    Born, CallResult, LoadConfig, Members, MembersConfig, Runner, RunnerLoads, StartNews,
+    Born, CallResult, LoadConfig, Runner, RunnerDirectory, RunnerDirectoryConfig, RunnerLoads,
+    StartNews,
 };
 use bulrushusher_time::Millis;
 use proptest::prelude::*;
@@ -79,25 +80,25 @@
 
     #[test]
     fn the_latest_start_takes_effect_in_any_order_of_statements(statements in statements()) {
-        let mut members = Members::new(MembersConfig::default());
+        let mut runners = RunnerDirectory::new(RunnerDirectoryConfig::default());
         let mut model = Model::default();
         let now = Millis(1_000);
-        members.store_answered(now);
+        runners.store_answered(now);
         for statement in &statements {
             match *statement {
-                Statement::Entry { n, born, leaving } => drop(members.put(runner(n, born, leaving))),
+                Statement::Entry { n, born, leaving } => drop(runners.put(runner(n, born, leaving))),
                 Statement::OwnReport { n, born } => {
-                    members.note_start(&runner(n, None, false).id, Some(Born(born)));
+                    runners.record_start(&runner(n, None, false).id, Some(Born(born)));
                 }
-                Statement::Removed { n } => members.remove(&runner(n, None, false).id, now),
+                Statement::Removed { n } => runners.remove(&runner(n, None, false).id, now),
             }
             model.apply(statement);
             for n in 0..3 {
-                let known = members.get(&runner(n, None, false).id, now);
+                let known = runners.get(&runner(n, None, false).id, now);
                 prop_assert_eq!(known.map(|known| known.leaving), model.leaving.get(&n).copied());
                 let last = model.born.get(&n).copied();
                 for born in 0..4 {
-                    let is_past = members.is_past(&runner(n, Some(born), false));
+                    let is_past = runners.is_superseded(&runner(n, Some(born), false));
                     prop_assert_eq!(is_past, last.is_some_and(|last| last > born));
                 }
             }
@@ -107,16 +108,16 @@
 
 #[test]
 fn a_full_list_reports_restarted_runners() {
-    let mut members = Members::new(MembersConfig::default());
+    let mut runners = RunnerDirectory::new(RunnerDirectoryConfig::default());
     let now = Millis(1_000);
-    members.replace_all(vec![runner(0, Some(5), false), runner(1, Some(5), false)], now);
-    let news = members.replace_all(vec![runner(0, Some(6), false), runner(1, Some(4), true)], now);
-    assert_eq!(news.started_again, vec![runner(0, None, false).id]);
-    assert!(news.missing.is_empty());
-    let kept = members.get(&runner(1, None, false).id, now).expect("still listed");
+    runners.replace_all(vec![runner(0, Some(5), false), runner(1, Some(5), false)], now);
+    let diff = runners.replace_all(vec![runner(0, Some(6), false), runner(1, Some(4), true)], now);
+    assert_eq!(diff.restarted, vec![runner(0, None, false).id]);
+    assert!(diff.missing.is_empty());
+    let kept = runners.get(&runner(1, None, false).id, now).expect("still listed");
     assert!(!kept.leaving, "the entry of an earlier start is ignored");
-    assert_eq!(members.put(runner(1, None, false)), StartNews::Untold);
-    assert!(members.get(&second_id(), now).is_none());
+    assert_eq!(runners.put(runner(1, None, false)), StartNews::Untold);
+    assert!(runners.get(&second_id(), now).is_none());
 }
 
 fn second_id() -> bulrushusher_world::RunnerId {
--- a/crates/bulrushusher_gateway/src/knowledge/mod.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/mod.rs
@@ -12,9 +12,9 @@
 use bulrushusher_accounts::{AccountTable, ConfigLease, QuotaBook};
 use bulrushusher_forward::{
     AttemptEnd, AttemptPlan, BackPressure, BackPressureConfig, CallResult, Candidate, Claim,
-    EngineSpec, HealthConfig, Members, NextStep, Pace, PaceConfig, PeersConfig, PlainPick,
-    PressureView, Rank, RelayView, Route, RoutingConfig, Runner, RunnerHealth, RunnerLoads, Runs,
-    UsualPatience, WaitingLine, pick_for_call, pick_for_prefill,
+    EngineSpec, HealthConfig, NextStep, Pace, PaceConfig, PeersConfig, PlainPick, PressureView,
+    Rank, RelayView, Route, RoutingConfig, Runner, RunnerDirectory, RunnerHealth, RunnerLoads,
+    Runs, UsualPatience, WaitingLine, pick_for_call, pick_for_prefill,
 };
 use bulrushusher_routing::{Quarantine, RetryBudget};
 use bulrushusher_time::{Clock, Millis};
@@ -48,7 +48,7 @@
 /// Runners and what this gateway has there.
 #[derive(Debug)]
 pub(crate) struct Runners {
-    pub members: Members,
+    pub members: RunnerDirectory,
     pub loads: RunnerLoads,
 }
 
@@ -112,8 +112,10 @@
         let name = cfg.name.to_string().into();
         let relays = relays::RelayState::new(&cfg);
         let pressure = BackPressure::new(BackPressureConfig::default(), name);
-        let runners =
-            Runners { members: Members::new(cfg.members), loads: RunnerLoads::new(cfg.loads) };
+        let runners = Runners {
+            members: RunnerDirectory::new(cfg.members),
+            loads: RunnerLoads::new(cfg.loads),
+        };
         Knowledge {
             clock,
             cfg: ArcSwap::from_pointee(cfg),
@@ -201,12 +203,12 @@
 
     /// True once requests can be served: a configuration is in force, and some runners are known.
     pub(crate) fn can_serve(&self) -> bool {
-        self.routing.load().is_some() && self.runners.lock().members.is_begun()
+        self.routing.load().is_some() && self.runners.lock().members.has_entries()
     }
 
     /// True once all runners are known too.
     pub(crate) fn is_complete(&self) -> bool {
-        self.routing.load().is_some() && self.runners.lock().members.is_complete()
+        self.routing.load().is_some() && self.runners.lock().members.has_full_list()
     }
 
     pub(crate) fn with_runners<T>(&self, f: impl FnOnce(&mut Runners, Millis) -> T) -> T {
@@ -276,7 +278,7 @@
     pub(crate) fn takes_work(&self, runner: &Runner) -> bool {
         self.with_runners(|runners, now| {
             let known = runners.members.get(&runner.id, now);
-            known.is_some_and(|known| !known.leaving && !runners.members.is_past(runner))
+            known.is_some_and(|known| !known.leaving && !runners.members.is_superseded(runner))
         })
     }
 
@@ -288,7 +290,7 @@
     /// Takes in how a call to a runner went. What an earlier start did says nothing of this one.
     pub(crate) fn note_call(&self, runner: &Runner, result: CallResult) {
         self.with_runners(|runners, now| {
-            if !runners.members.is_past(runner) {
+            if !runners.members.is_superseded(runner) {
                 runners.loads.note(&runner.id, result, now);
             }
         });
--- a/crates/bulrushusher_gateway/src/knowledge/news.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/news.rs
@@ -52,7 +52,7 @@
         match topic {
             Topic::Configuration => self.restored.send_modify(|times| *times += 1),
             Topic::Runners => {
-                self.with_runners(|runners, now| runners.members.note_restore(now));
+                self.with_runners(|runners, now| runners.members.record_store_restore(now));
             }
         }
     }
--- a/crates/bulrushusher_gateway/src/knowledge/passing_on.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/passing_on.rs
@@ -169,7 +169,7 @@
 
     /// True once runners were listed as a whole.
     pub(crate) fn is_listed(&self) -> bool {
-        self.with_runners(|known, _| known.members.is_complete())
+        self.with_runners(|known, _| known.members.has_full_list())
     }
 
     /// The last change of a topic that relays or other peers have told of.
--- a/crates/bulrushusher_gateway/src/knowledge/pressure.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/pressure.rs
@@ -49,7 +49,8 @@
     /// The runner has said itself that it leaves; returns whether that is new.
     fn note_leaving(&self, runner: &Runner) -> bool {
         let report = DrainReport { runner: runner.id.clone(), born: runner.born };
-        let is_new = self.with_runners(|runners, now| runners.members.note_leaving(&report, now));
+        let is_new =
+            self.with_runners(|runners, now| runners.members.record_drain_notice(&report, now));
         if is_new {
             self.report_due.notify_one();
         }
@@ -59,7 +60,7 @@
     /// Takes in of which runners a peer has heard that they leave.
     pub(super) fn hear_leaving(&self, peer: &str, reports: &[DrainReport]) {
         for report in reports {
-            if self.with_runners(|runners, now| runners.members.note_leaving(report, now)) {
+            if self.with_runners(|runners, now| runners.members.record_drain_notice(report, now)) {
                 log::info!("runners: leaving heard id={} peer={peer}", report.runner);
                 self.report_due.notify_one();
             }
@@ -97,9 +98,8 @@
     /// # Errors
     /// What the runner asked for meanwhile.
     pub(crate) fn may_send(&self, runner: &Runner) -> Result<(), Pressure> {
-        let leaves = self.with_runners(|runners, _| {
-            runners.members.has_said_that_it_leaves(&runner.id, runner.born)
-        });
+        let leaves = self
+            .with_runners(|runners, _| runners.members.has_drain_notice(&runner.id, runner.born));
         match leaves {
             true => Err(Pressure::Leaving),
             false => self.pressure.lock().check_backoff(runner, self.now()),
--- a/crates/bulrushusher_gateway/src/knowledge/starts.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/starts.rs
@@ -1,6 +1,6 @@
 //! Runners that start again under the identity that they had.
 
-use bulrushusher_forward::{Born, ListNews, Runner, StartNews};
+use bulrushusher_forward::{Born, Runner, RunnerListDiff, StartNews};
 use bulrushusher_time::Millis;
 use bulrushusher_world::RunnerId;
 
@@ -24,7 +24,7 @@
     }
 
     /// Takes in a whole list of runners.
-    pub(crate) fn put_all_runners(&self, mut listed: Vec<Runner>) -> ListNews {
+    pub(crate) fn put_all_runners(&self, mut listed: Vec<Runner>) -> RunnerListDiff {
         let impossible = |runner: &Runner| self.is_impossible(runner.born);
         let dropped: Vec<RunnerId> =
             listed.iter().filter(|runner| impossible(runner)).map(|r| r.id.clone()).collect();
@@ -34,7 +34,7 @@
         let news = self.with_runners(|runners, now| runners.members.replace_all(listed, now));
         dropped.iter().for_each(|id| self.drop_runner(id));
         for (id, born) in &starts {
-            let is_later = news.started_again.contains(id);
+            let is_later = news.restarted.contains(id);
             let start = if is_later { StartNews::Later } else { StartNews::Same };
             self.take_in_start(id, *born, start);
         }
@@ -46,7 +46,7 @@
         if self.is_impossible(born) {
             return StartNews::Untold;
         }
-        let news = self.with_runners(|runners, _| runners.members.note_start(id, born));
+        let news = self.with_runners(|runners, _| runners.members.record_start(id, born));
         self.take_in_start(id, born, news);
         news
     }
@@ -63,7 +63,7 @@
 
     /// True when a later start of the runner is known: what is held there is gone.
     pub(crate) fn is_past(&self, runner: &Runner) -> bool {
-        self.with_runners(|runners, _| runners.members.is_past(runner))
+        self.with_runners(|runners, _| runners.members.is_superseded(runner))
     }
 
     /// Drops what was believed of the start before.
--- a/crates/bulrushusher_gateway/src/settings.rs
+++ b/crates/bulrushusher_gateway/src/settings.rs
@@ -5,8 +5,8 @@
 use bulrushusher_accounts::{QuotaConfig, Sharing};
 use bulrushusher_config::{ConfigError, Kind, Program, Setting, Values, setting};
 use bulrushusher_forward::{
-    ForecastConfig, GatewayDirectoryConfig, HoldConfig, LineOrder, LoadConfig, MembersConfig,
-    ReturnConfig, ShutdownConfig, StagesConfig, WaitingConfig,
+    ForecastConfig, GatewayDirectoryConfig, HoldConfig, LineOrder, LoadConfig, ReturnConfig,
+    RunnerDirectoryConfig, ShutdownConfig, StagesConfig, WaitingConfig,
 };
 use bulrushusher_routing::{QuarantineConfig, RetryConfig};
 use bulrushusher_time::Millis;
@@ -274,7 +274,7 @@
     /// How results at runners are weighed.
     pub loads: LoadConfig,
     /// Bounds of the knowledge of runners.
-    pub members: MembersConfig,
+    pub members: RunnerDirectoryConfig,
 }
 
 /// Part of the allowed share of repeats that gateways spend: windows slide, and requests of the
@@ -362,7 +362,7 @@
                 ..StagesConfig::default()
             },
             loads: LoadConfig::default(),
-            members: MembersConfig::default(),
+            members: RunnerDirectoryConfig::default(),
         })
     }
 }
--- a/crates/bulrushusher_gateway/src/store/feed.rs
+++ b/crates/bulrushusher_gateway/src/store/feed.rs
@@ -196,7 +196,7 @@
     async fn watch(&self, is_listed: bool) -> Freshness {
         let alone = self.share(WAIT_SHARE);
         if self.topic == Topic::Runners && !is_listed {
-            self.knowledge.with_runners(|known, now| known.members.begin_asking(now));
+            self.knowledge.with_runners(|known, now| known.members.begin_store_polling(now));
         }
         // After a peer's word the store itself is asked, as often as without peers.
         let mut heeds_peers = true;
--- a/crates/bulrushusher_gateway/src/store/intake.rs
+++ b/crates/bulrushusher_gateway/src/store/intake.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use bulrushusher_forward::{ListNews, RoutingConfig, Runner, RunnerChange, RunnerDelta, StartNews};
+use bulrushusher_forward::{
+    RoutingConfig, Runner, RunnerChange, RunnerDelta, RunnerListDiff, StartNews,
+};
 use bulrushusher_report::GatewayMetrics;
 use bulrushusher_world::RunnerId;
 
@@ -107,7 +109,7 @@
         );
         self.knowledge.with_runners(|known, now| {
             if let Some(age) = outage_age {
-                known.members.note_outage_end(now.since(age));
+                known.members.record_outage_end(now.since(age));
             }
         });
         changes.iter().for_each(|change| self.apply(change));
@@ -129,9 +131,9 @@
             let changed = listed.iter().filter(|it| !known.members.is_listed_as(it)).cloned();
             changed.map(RunnerChange::Entry).collect()
         });
-        let ListNews { missing, started_again } = self.knowledge.put_all_runners(listed);
+        let RunnerListDiff { missing, restarted } = self.knowledge.put_all_runners(listed);
         self.forget(&missing);
-        started_again.iter().for_each(|id| self.pool.forget(id));
+        restarted.iter().for_each(|id| self.pool.forget(id));
         if !missing.is_empty() {
             log::info!("runners: no longer listed count={}", missing.len());
         }
--- a/crates/bulrushusher_model/src/play.rs
+++ b/crates/bulrushusher_model/src/play.rs
@@ -4,8 +4,9 @@
 use std::net::SocketAddr;
 
 use bulrushusher_forward::{
-    Claim, GatewayReport, HealthConfig, LoadConfig, Members, MembersConfig, Pace, PaceConfig,
-    PeersConfig, Rank, RunNumber, Runner, RunnerHealth, RunnerLoads, Runs, Stage, WaitingLine,
+    Claim, GatewayReport, HealthConfig, LoadConfig, Pace, PaceConfig, PeersConfig, Rank, RunNumber,
+    Runner, RunnerDirectory, RunnerDirectoryConfig, RunnerHealth, RunnerLoads, Runs, Stage,
+    WaitingLine,
 };
 use bulrushusher_time::Millis;
 use bulrushusher_world::{RunnerId, ServiceName};
@@ -63,7 +64,7 @@
 pub(crate) struct Played<'a> {
     pub fleet: &'a Fleet,
     pub service: ServiceName,
-    pub members: Members,
+    pub members: RunnerDirectory,
     pub loads: RunnerLoads,
     pub ids: Vec<RunnerId>,
     pub gateways: Vec<Gateway>,
@@ -101,7 +102,7 @@
 impl<'a> Played<'a> {
     fn new(fleet: &'a Fleet, arrivals: &[Arrival], seed: u64) -> Played<'a> {
         let service: ServiceName = "llm".try_into().expect("a good name");
-        let mut members = Members::new(MembersConfig::default());
+        let mut members = RunnerDirectory::new(RunnerDirectoryConfig::default());
         let mut ids = Vec::new();
         for n in 0..fleet.decodes {
             let runner = runner(&service, n);
