--- a/crates/bulrushusher_forward/src/back_pressure.rs
+++ b/crates/bulrushusher_forward/src/back_pressure.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::limit_share::{LimitUse, Share, Sharers};
-use crate::{Born, RateLimit, Runner, RunnerSignals};
+use crate::{RateLimit, Runner, RunnerSignals, StartTime};
 
 /// How long signals count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -95,7 +95,7 @@
     /// The runner.
     pub runner: RunnerId,
     /// The start that named it.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
     /// The limit; `None` when it is over.
     pub limit: Option<RateLimit>,
     /// Time since the runner said so.
@@ -112,7 +112,7 @@
 /// What one start of a runner asked for.
 #[derive(Clone, Copy, Debug, Default)]
 struct Asked {
-    born: Option<Born>,
+    born: Option<StartTime>,
     last: RunnerSignals,
     backoff: Option<Backoff>,
     limit: Option<LimitUse>,
@@ -358,7 +358,7 @@
 
     /// What that start of a runner asked for; `None` when a later start is known. What an earlier one asked
     /// for is forgotten.
-    fn of_start(&mut self, id: &RunnerId, born: Option<Born>) -> Option<&mut Asked> {
+    fn of_start(&mut self, id: &RunnerId, born: Option<StartTime>) -> Option<&mut Asked> {
         let asked = self.runners.entry(id.clone()).or_insert(Asked { born, ..Asked::default() });
         if asked.born > born {
             return None;
--- a/crates/bulrushusher_forward/src/lib.rs
+++ b/crates/bulrushusher_forward/src/lib.rs
@@ -40,7 +40,7 @@
 mod shutdown;
 mod signals;
 mod stages;
-mod starts;
+mod start_times;
 mod waiting;
 
 pub use back_pressure::{
@@ -73,7 +73,7 @@
     WeightedService,
 };
 pub use routing_delta::RoutingDelta;
-pub use runner::{Born, Runner, Stage};
+pub use runner::{Runner, Stage, StartTime};
 pub use runner_changes::{
     ChangeLog, DeltaNews, DeltaPages, DeltaRequest, RunnerChange, RunnerDelta,
 };
@@ -82,7 +82,7 @@
 pub use shutdown::{Shutdown, ShutdownConfig};
 pub use signals::RunnerSignals;
 pub use stages::{DutyConfig, StageChange, StageDuty, StagesConfig, next_stage_change};
-pub use starts::{StartNews, Starts};
+pub use start_times::{StartStatus, StartTimes};
 pub use waiting::{Claim, LineOrder, Rank, WaitingConfig, WaitingLine, asks_now};
 
 /// The most common types.
--- a/crates/bulrushusher_forward/src/report.rs
+++ b/crates/bulrushusher_forward/src/report.rs
@@ -6,7 +6,9 @@
 use bulrushusher_world::RunnerId;
 use serde::{Deserialize, Serialize};
 
-use crate::{Born, DrainReport, LimitReport, NewsSeen, RunCounts, RunShape, Starts, StoreContact};
+use crate::{
+    DrainReport, LimitReport, NewsSeen, RunCounts, RunShape, StartTime, StartTimes, StoreContact,
+};
 
 /// One run in a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -110,13 +112,14 @@
     pub leaving: Vec<DrainReport>,
     /// Start times of the runners in this report, for runners that report one. The receiver ignores
     /// statements about an earlier start than it knows.
-    pub starts: BTreeMap<RunnerId, Born>,
+    pub starts: BTreeMap<RunnerId, StartTime>,
 }
 
 impl GatewayReport {
     /// Adds the known start times of the runners in this report.
-    pub fn add_starts(&mut self, starts: &Starts) {
-        let known = self.mentioned_runners().filter_map(|id| Some((id.clone(), starts.last(id)?)));
+    pub fn add_starts(&mut self, starts: &StartTimes) {
+        let known =
+            self.mentioned_runners().filter_map(|id| Some((id.clone(), starts.latest(id)?)));
         self.starts = known.collect();
     }
 
--- a/crates/bulrushusher_forward/src/runner.rs
+++ b/crates/bulrushusher_forward/src/runner.rs
@@ -24,7 +24,7 @@
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Born(pub u64);
+pub struct StartTime(pub u64);
 
 /// One start of a runner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
     /// Its identity; a later start may have the same.
     pub id: RunnerId,
     /// Its start time; `None` for runners that report none and get a new identity at each start.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
     /// Its service.
     pub service: ServiceName,
     /// Address at which it accepts requests.
--- a/crates/bulrushusher_forward/src/runner_directory.rs
+++ b/crates/bulrushusher_forward/src/runner_directory.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Born, Runner, StartNews, Starts};
+use crate::{Runner, StartStatus, StartTime, StartTimes};
 
 /// Time limits of the runner directory.
 #[derive(Clone, Copy, Debug)]
@@ -85,7 +85,7 @@
 pub struct RunnerDirectory {
     cfg: RunnerDirectoryConfig,
     known: HashMap<RunnerId, Entry>,
-    starts: Starts,
+    starts: StartTimes,
     last_answer: Option<Millis>,
     last_outage_end: Option<Millis>,
     was_fully_listed: bool,
@@ -103,12 +103,12 @@
     /// The runner.
     pub runner: RunnerId,
     /// The start of the runner that sent the notice.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct DrainNotice {
-    born: Option<Born>,
+    born: Option<StartTime>,
     received_at: Millis,
 }
 
@@ -118,7 +118,7 @@
         RunnerDirectory {
             cfg,
             known: HashMap::new(),
-            starts: Starts::default(),
+            starts: StartTimes::default(),
             last_answer: None,
             last_outage_end: None,
             was_fully_listed: false,
@@ -133,7 +133,7 @@
     /// may be unavailable or restored from an older backup. Returns true when the notice is new.
     pub fn record_drain_notice(&mut self, report: &DrainReport, now: Millis) -> bool {
         let DrainReport { runner, born } = report;
-        if self.starts.is_past(runner, *born) || self.has_drain_notice(runner, *born) {
+        if self.starts.is_superseded(runner, *born) || self.has_drain_notice(runner, *born) {
             return false;
         }
         let known = &self.known;
@@ -161,7 +161,7 @@
     }
 
     /// True when this start of the runner sent a drain notice.
-    pub fn has_drain_notice(&self, id: &RunnerId, born: Option<Born>) -> bool {
+    pub fn has_drain_notice(&self, id: &RunnerId, born: Option<StartTime>) -> bool {
         self.drain_notices.get(id).is_some_and(|notice| notice.born == born)
     }
 
@@ -246,7 +246,7 @@
         }
         let mut restarted = Vec::new();
         for (id, runner) in listed {
-            if self.put(runner) == StartNews::Later {
+            if self.put(runner) == StartStatus::Newer {
                 restarted.push(id);
             }
         }
@@ -269,12 +269,12 @@
 
     /// Applies one entry. An entry of an earlier start is ignored. An entry without a start time,
     /// for a runner that has reported one, was not written by that runner and makes it unusable.
-    pub fn put(&mut self, mut runner: Runner) -> StartNews {
-        let status = self.starts.note(&runner.id, runner.born);
+    pub fn put(&mut self, mut runner: Runner) -> StartStatus {
+        let status = self.starts.record(&runner.id, runner.born);
         match status {
-            StartNews::Earlier => {}
-            StartNews::Untold => self.forget(&runner.id),
-            StartNews::Same | StartNews::Later => {
+            StartStatus::Stale => {}
+            StartStatus::Missing => self.forget(&runner.id),
+            StartStatus::Current | StartStatus::Newer => {
                 self.remove_lapsed_at_address(&runner);
                 self.removed.remove(&runner.id);
                 runner.leaving |= self.has_drain_notice(&runner.id, runner.born);
@@ -286,9 +286,9 @@
     }
 
     /// Records a start time that the runner reported itself, possibly before its entry shows it.
-    pub fn record_start(&mut self, id: &RunnerId, born: Option<Born>) -> StartNews {
-        let status = self.starts.note(id, born);
-        if let (StartNews::Later, Some(known)) = (status, self.known.get_mut(id)) {
+    pub fn record_start(&mut self, id: &RunnerId, born: Option<StartTime>) -> StartStatus {
+        let status = self.starts.record(id, born);
+        if let (StartStatus::Newer, Some(known)) = (status, self.known.get_mut(id)) {
             known.runner.born = born;
         }
         status
@@ -297,7 +297,7 @@
     /// True when a later start under the identity of `runner` is known; memory holds, KV caches and
     /// runs of the earlier one are lost.
     pub fn is_superseded(&self, runner: &Runner) -> bool {
-        self.starts.is_past(&runner.id, runner.born)
+        self.starts.is_superseded(&runner.id, runner.born)
     }
 
     /// Drops lapsed runners at the same address: it now belongs to the runner listed last.
--- a/crates/bulrushusher_forward/src/runs.rs
+++ b/crates/bulrushusher_forward/src/runs.rs
@@ -8,8 +8,8 @@
 
 use crate::by_runner::{ByRunner, PeerNumber, Reported};
 use crate::{
-    Born, GatewayChanges, GatewayReport, MemoryForecast, MemoryNeed, RunNote, RunShape, StartNews,
-    Starts,
+    GatewayChanges, GatewayReport, MemoryForecast, MemoryNeed, RunNote, RunShape, StartStatus,
+    StartTime, StartTimes,
 };
 
 /// Limits on the use of peers' reports.
@@ -58,7 +58,7 @@
     pub(crate) by_runner: ByRunner,
     /// Time of each peer's last message.
     pub(crate) last_message: HashMap<PeerNumber, Millis>,
-    starts: Starts,
+    starts: StartTimes,
 }
 
 impl Runs {
@@ -72,15 +72,15 @@
             last_peer: 0,
             by_runner: ByRunner::default(),
             last_message: HashMap::new(),
-            starts: Starts::default(),
+            starts: StartTimes::default(),
         }
     }
 
     /// Records a runner's start. Runs of an earlier start have ended, including those of peers;
     /// reports about an earlier start are ignored from then on.
-    pub fn note_start(&mut self, id: &RunnerId, born: Option<Born>) -> StartNews {
-        let news = self.starts.note(id, born);
-        if news == StartNews::Later {
+    pub fn record_start(&mut self, id: &RunnerId, born: Option<StartTime>) -> StartStatus {
+        let status = self.starts.record(id, born);
+        if status == StartStatus::Newer {
             let ended = self.by_runner.get(id).map(|state| state.own.clone());
             for run in ended.unwrap_or_default() {
                 self.end(run);
@@ -88,12 +88,12 @@
         }
         // This applies to the first reported start too: reports without a start concern an earlier
         // one.
-        if born.is_some() && matches!(news, StartNews::Same | StartNews::Later) {
+        if born.is_some() && matches!(status, StartStatus::Current | StartStatus::Newer) {
             for peer in self.peers.values_mut() {
                 let reported = peer.report.starts.get(id).copied();
                 // A full list calls this once per runner, and most peers have nothing at that
                 // runner.
-                if self.starts.is_past(id, reported) && peer.report.mentions(id) {
+                if self.starts.is_superseded(id, reported) && peer.report.mentions(id) {
                     let before = peer.report.clone();
                     peer.report.remove_runners(|runner| runner == id);
                     let number = peer.number;
@@ -102,11 +102,11 @@
                 }
             }
         }
-        news
+        status
     }
 
     /// The known start times of runners.
-    pub fn starts(&self) -> &Starts {
+    pub fn starts(&self) -> &StartTimes {
         &self.starts
     }
 
@@ -234,7 +234,9 @@
             return;
         }
         let reported = std::mem::take(&mut report.starts);
-        report.remove_runners(|runner| self.starts.is_past(runner, reported.get(runner).copied()));
+        report.remove_runners(|runner| {
+            self.starts.is_superseded(runner, reported.get(runner).copied())
+        });
         report.starts = reported;
     }
 
--- a/crates/bulrushusher_forward/tests/back_pressure.rs
+++ b/crates/bulrushusher_forward/tests/back_pressure.rs
@@ -1,7 +1,8 @@
 //! What runners asked for binds, whatever comes in which order.
 
 use bulrushusher_forward::{
-    BackPressure, BackPressureConfig, Born, LimitReport, Pressure, RateLimit, Runner, RunnerSignals,
+    BackPressure, BackPressureConfig, LimitReport, Pressure, RateLimit, Runner, RunnerSignals,
+    StartTime,
 };
 use bulrushusher_time::Millis;
 use proptest::prelude::*;
@@ -9,7 +10,7 @@
 fn runner(born: u64) -> Runner {
     Runner {
         id: "i-1".try_into().unwrap(),
-        born: Some(Born(born)),
+        born: Some(StartTime(born)),
         service: "board-app".try_into().unwrap(),
         address: "10.0.0.1:80".parse().unwrap(),
         data_centre: "dc-1".try_into().unwrap(),
@@ -139,7 +140,7 @@
 fn the_latest_word_of_a_limit_counts() {
     let word = |limit, age| LimitReport {
         runner: "i-1".try_into().unwrap(),
-        born: Some(Born(1)),
+        born: Some(StartTime(1)),
         limit,
         age: Millis(age),
     };
--- a/crates/bulrushusher_forward/tests/memory_machine.rs
+++ b/crates/bulrushusher_forward/tests/memory_machine.rs
@@ -8,7 +8,9 @@
 
 use std::collections::BTreeMap;
 
-use bulrushusher_forward::{Born, GatewayReport, PeersConfig, RunNote, RunNumber, RunShape, Runs};
+use bulrushusher_forward::{
+    GatewayReport, PeersConfig, RunNote, RunNumber, RunShape, Runs, StartTime,
+};
 use bulrushusher_time::Millis;
 use bulrushusher_world::RunnerId;
 use proptest::prelude::*;
@@ -284,7 +286,7 @@
             Step::Learn { gateway, runner: n, late } => {
                 let born = told_start(self.born.get(&n).copied().unwrap_or(0), late);
                 let Gateway { runs, live, .. } = &mut self.gateways[gateway];
-                runs.note_start(&runner(n), Some(Born(born)));
+                runs.record_start(&runner(n), Some(StartTime(born)));
                 // What was at an earlier start is not known any more, and its end changes nothing.
                 let own = runs.own().filter(|note| note.runner == runner(n)).count();
                 if own == 0 {
--- a/crates/bulrushusher_forward/tests/starts.rs
+++ b/crates/bulrushusher_forward/tests/starts.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use bulrushusher_forward::{
-    Born, CallResult, LoadConfig, Runner, RunnerDirectory, RunnerDirectoryConfig, RunnerLoads,
-    StartNews,
+    CallResult, LoadConfig, Runner, RunnerDirectory, RunnerDirectoryConfig, RunnerLoads,
+    StartStatus, StartTime,
 };
 use bulrushusher_time::Millis;
 use proptest::prelude::*;
@@ -14,7 +14,7 @@
 fn runner(n: u8, born: Option<u64>, leaving: bool) -> Runner {
     Runner {
         id: format!("i-{n}").as_str().try_into().expect("valid name"),
-        born: born.map(Born),
+        born: born.map(StartTime),
         service: "app".try_into().expect("valid name"),
         address: ([10, 0, 0, 1], 8_000 + u16::from(n)).into(),
         data_centre: "dc-1".try_into().expect("valid name"),
@@ -88,7 +88,7 @@
             match *statement {
                 Statement::Entry { n, born, leaving } => drop(runners.put(runner(n, born, leaving))),
                 Statement::OwnReport { n, born } => {
-                    runners.record_start(&runner(n, None, false).id, Some(Born(born)));
+                    runners.record_start(&runner(n, None, false).id, Some(StartTime(born)));
                 }
                 Statement::Removed { n } => runners.remove(&runner(n, None, false).id, now),
             }
@@ -116,7 +116,7 @@
     assert!(diff.missing.is_empty());
     let kept = runners.get(&runner(1, None, false).id, now).expect("still listed");
     assert!(!kept.leaving, "the entry of an earlier start is ignored");
-    assert_eq!(runners.put(runner(1, None, false)), StartNews::Untold);
+    assert_eq!(runners.put(runner(1, None, false)), StartStatus::Missing);
     assert!(runners.get(&second_id(), now).is_none());
 }
 
--- a/crates/bulrushusher_gateway/src/dialect/mod.rs
+++ b/crates/bulrushusher_gateway/src/dialect/mod.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use bulrushusher_accounts::Credentials;
-use bulrushusher_forward::{Born, PromptSize, RequestId, RunnerSignals, Stage};
+use bulrushusher_forward::{PromptSize, RequestId, RunnerSignals, Stage, StartTime};
 use bulrushusher_time::Millis;
 use bulrushusher_world::{ClientAccountName, RunnerId};
 use bytes::Bytes;
@@ -152,7 +152,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunnerReport {
     /// When it started, where runners tell.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
     /// Its stage.
     pub stage: Option<Stage>,
     /// True while it carries out an order.
--- a/crates/bulrushusher_gateway/src/knowledge/starts.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/starts.rs
@@ -1,6 +1,6 @@
 //! Runners that start again under the identity that they had.
 
-use bulrushusher_forward::{Born, Runner, RunnerListDiff, StartNews};
+use bulrushusher_forward::{Runner, RunnerListDiff, StartStatus, StartTime};
 use bulrushusher_time::Millis;
 use bulrushusher_world::RunnerId;
 
@@ -12,10 +12,10 @@
 
 impl Knowledge {
     /// Takes in a runner's entry.
-    pub(crate) fn put_runner(&self, runner: Runner) -> StartNews {
+    pub(crate) fn put_runner(&self, runner: Runner) -> StartStatus {
         if self.is_impossible(runner.born) {
             self.drop_runner(&runner.id);
-            return StartNews::Untold;
+            return StartStatus::Missing;
         }
         let (id, born) = (runner.id.clone(), runner.born);
         let news = self.with_runners(|runners, _| runners.members.put(runner));
@@ -29,22 +29,22 @@
         let dropped: Vec<RunnerId> =
             listed.iter().filter(|runner| impossible(runner)).map(|r| r.id.clone()).collect();
         listed.retain(|runner| !impossible(runner));
-        let starts: Vec<(RunnerId, Option<Born>)> =
+        let starts: Vec<(RunnerId, Option<StartTime>)> =
             listed.iter().map(|runner| (runner.id.clone(), runner.born)).collect();
         let news = self.with_runners(|runners, now| runners.members.replace_all(listed, now));
         dropped.iter().for_each(|id| self.drop_runner(id));
         for (id, born) in &starts {
             let is_later = news.restarted.contains(id);
-            let start = if is_later { StartNews::Later } else { StartNews::Same };
+            let start = if is_later { StartStatus::Newer } else { StartStatus::Current };
             self.take_in_start(id, *born, start);
         }
         news
     }
 
     /// A runner told its start itself, perhaps before its entry does.
-    pub(crate) fn hear_start(&self, id: &RunnerId, born: Option<Born>) -> StartNews {
+    pub(crate) fn hear_start(&self, id: &RunnerId, born: Option<StartTime>) -> StartStatus {
         if self.is_impossible(born) {
-            return StartNews::Untold;
+            return StartStatus::Missing;
         }
         let news = self.with_runners(|runners, _| runners.members.record_start(id, born));
         self.take_in_start(id, born, news);
@@ -67,11 +67,11 @@
     }
 
     /// Drops what was believed of the start before.
-    fn take_in_start(&self, id: &RunnerId, born: Option<Born>, news: StartNews) {
-        if born.is_some() && matches!(news, StartNews::Same | StartNews::Later) {
-            self.runs.lock().note_start(id, born);
+    fn take_in_start(&self, id: &RunnerId, born: Option<StartTime>, news: StartStatus) {
+        if born.is_some() && matches!(news, StartStatus::Current | StartStatus::Newer) {
+            self.runs.lock().record_start(id, born);
         }
-        if news != StartNews::Later {
+        if news != StartStatus::Newer {
             return;
         }
         self.with_runners(|runners, _| runners.loads.forget(id));
@@ -86,7 +86,7 @@
         );
     }
 
-    fn is_impossible(&self, born: Option<Born>) -> bool {
+    fn is_impossible(&self, born: Option<StartTime>) -> bool {
         born.is_some_and(|born| born.0 > self.now().plus(MOST_AHEAD).0)
     }
 }
--- a/crates/bulrushusher_gateway/src/store/intake.rs
+++ b/crates/bulrushusher_gateway/src/store/intake.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bulrushusher_forward::{
-    RoutingConfig, Runner, RunnerChange, RunnerDelta, RunnerListDiff, StartNews,
+    RoutingConfig, Runner, RunnerChange, RunnerDelta, RunnerListDiff, StartStatus,
 };
 use bulrushusher_report::GatewayMetrics;
 use bulrushusher_world::RunnerId;
@@ -151,12 +151,12 @@
             runner.born.map_or(0, |born| born.0),
         );
         match self.knowledge.put_runner(runner.clone()) {
-            StartNews::Same => {}
-            StartNews::Later => self.pool.forget(id),
-            StartNews::Earlier => {
+            StartStatus::Current => {}
+            StartStatus::Newer => self.pool.forget(id),
+            StartStatus::Stale => {
                 log::info!("runners: entry passed over id={id} cause=\"an earlier start\"");
             }
-            StartNews::Untold => {
+            StartStatus::Missing => {
                 log::warn!(
                     "runners: entry passed over id={id} field=born cause=\"not the runner's own\""
                 );
--- a/crates/bulrushusher_gateway/src/store/orders.rs
+++ b/crates/bulrushusher_gateway/src/store/orders.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use bulrushusher_forward::{
-    Born, DutyConfig, Runner, Stage, StageChange, StageDuty, StagesConfig, StartNews,
+    DutyConfig, Runner, Stage, StageChange, StageDuty, StagesConfig, StartStatus, StartTime,
     next_stage_change,
 };
 use bulrushusher_report::GatewayMetrics;
@@ -55,14 +55,14 @@
     to_decode: bool,
     /// The start that the order was for: a later one knows nothing of it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    born: Option<Born>,
+    born: Option<StartTime>,
 }
 
 /// A change that may be under way, at which start, and since when this process knows of it.
 #[derive(Clone, Copy, Debug)]
 struct Ordered {
     stage: Stage,
-    born: Option<Born>,
+    born: Option<StartTime>,
     known_since: Millis,
 }
 
@@ -250,10 +250,10 @@
         // the count of orders that they told, so that another start refuses it or has as many.
         let born = report.born.or(runner.born);
         match self.knowledge.hear_start(&runner.id, born) {
-            StartNews::Same => {}
-            StartNews::Later => return Err(format!("{} started again", runner.id)),
-            StartNews::Earlier => return Err(format!("{} tells of an earlier start", runner.id)),
-            StartNews::Untold => return Err(format!("{} does not tell its start", runner.id)),
+            StartStatus::Current => {}
+            StartStatus::Newer => return Err(format!("{} started again", runner.id)),
+            StartStatus::Stale => return Err(format!("{} tells of an earlier start", runner.id)),
+            StartStatus::Missing => return Err(format!("{} does not tell its start", runner.id)),
         }
         if report.busy || report.stage == Some(change.stage) {
             let known_since = self.knowledge.now();
