--- a/crates/bulrushusher_forward/src/news.rs
+++ b/crates/bulrushusher_forward/src/long_poll.rs
@@ -10,7 +10,7 @@
 
 /// Latest store revisions that a gateway has seen, by topic and including the era.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NewsSeen {
+pub struct SeenRevisions {
     /// Revision of the last configuration change.
     pub configuration: u64,
     /// Revision of the last change of a runner entry.
@@ -19,11 +19,11 @@
     pub version: u64,
 }
 
-impl NewsSeen {
+impl SeenRevisions {
     /// The later revision of each topic.
     #[must_use]
-    pub fn max(self, other: NewsSeen) -> NewsSeen {
-        NewsSeen {
+    pub fn max(self, other: SeenRevisions) -> SeenRevisions {
+        SeenRevisions {
             configuration: self.configuration.max(other.configuration),
             runners: self.runners.max(other.runners),
             version: self.version.max(other.version),
@@ -33,49 +33,49 @@
 
 /// Limits of the duration of a long poll.
 #[derive(Clone, Copy, Debug)]
-pub struct NewsConfig {
+pub struct LongPollConfig {
     /// Minimum number of live peers for a longer poll.
-    pub least_peers: usize,
+    pub min_peers: usize,
     /// Answers that all gateways together get during the poll duration of a single one.
-    pub answers_a_wait: f64,
+    pub answers_per_wait: f64,
     /// Maximum poll duration.
-    pub longest: Millis,
+    pub max_wait: Millis,
     /// How long a peer may be ahead before this gateway's own connection counts as dead.
-    pub behind_for: Millis,
+    pub behind_grace: Millis,
 }
 
-impl Default for NewsConfig {
+impl Default for LongPollConfig {
     /// With one or two peers, all may be behind the same partition. Four answers per poll duration
     /// allow for polls that are unevenly spread. The maximum bounds the delay when the store is
     /// silent for all gateways. Changes reach gateways some tens of milliseconds apart, and after
     /// each change a gateway pauses for a twentieth of the time within which changes must be in
     /// force.
-    fn default() -> NewsConfig {
-        NewsConfig {
-            least_peers: 3,
-            answers_a_wait: 4.0,
-            longest: Millis(10_000),
-            behind_for: Millis(250),
+    fn default() -> LongPollConfig {
+        LongPollConfig {
+            min_peers: 3,
+            answers_per_wait: 4.0,
+            max_wait: Millis(10_000),
+            behind_grace: Millis(250),
         }
     }
 }
 
-impl NewsConfig {
+impl LongPollConfig {
     /// Poll duration with `peers` live peers; `alone` is the duration for a gateway without peers.
     ///
     /// ```
-    /// use bulrushusher_forward::NewsConfig;
+    /// use bulrushusher_forward::LongPollConfig;
     /// use bulrushusher_time::Millis;
-    /// let cfg = NewsConfig::default();
+    /// let cfg = LongPollConfig::default();
     /// assert_eq!(cfg.wait(Millis(1_000), 2), Millis(1_000));
     /// assert_eq!(cfg.wait(Millis(1_000), 4), Millis(1_250));
     /// assert_eq!(cfg.wait(Millis(2_000), 299), Millis(10_000));
     /// ```
     pub fn wait(&self, alone: Millis, peers: usize) -> Millis {
-        if peers < self.least_peers {
+        if peers < self.min_peers {
             return alone;
         }
-        let shared = alone.0 as f64 * (peers + 1) as f64 / self.answers_a_wait;
-        Millis(shared as u64).min(self.longest).max(alone)
+        let shared = alone.0 as f64 * (peers + 1) as f64 / self.answers_per_wait;
+        Millis(shared as u64).min(self.max_wait).max(alone)
     }
 }
--- a/crates/bulrushusher_forward/src/peer_state.rs
+++ b/crates/bulrushusher_forward/src/peer_state.rs
@@ -6,7 +6,7 @@
 use bulrushusher_world::RunnerId;
 
 use crate::runs::Peer;
-use crate::{GatewayReport, NewsSeen, RelayPeer, RunCounts, Runs};
+use crate::{GatewayReport, RelayPeer, RunCounts, Runs, SeenRevisions};
 
 impl Runs {
     /// Number of peers whose last message is recent.
@@ -26,13 +26,14 @@
     }
 
     /// Latest store revisions seen by one peer.
-    pub fn news_of(&self, peer: &str) -> NewsSeen {
-        self.peers.get(peer).map(|peer| peer.report.news).unwrap_or_default()
+    pub fn revisions_seen_by(&self, peer: &str) -> SeenRevisions {
+        self.peers.get(peer).map(|peer| peer.report.seen_revisions).unwrap_or_default()
     }
 
     /// Latest store revisions seen by any live peer.
-    pub fn news_of_peers(&self, now: Millis) -> NewsSeen {
-        self.live_peers(now).fold(NewsSeen::default(), |seen, peer| seen.max(peer.report.news))
+    pub fn revisions_seen_by_peers(&self, now: Millis) -> SeenRevisions {
+        self.live_peers(now)
+            .fold(SeenRevisions::default(), |seen, peer| seen.max(peer.report.seen_revisions))
     }
 
     /// True while a peer has a waiting generation that can still meet its target.
--- a/crates/bulrushusher_forward/src/report.rs
+++ b/crates/bulrushusher_forward/src/report.rs
@@ -7,7 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    DrainReport, LimitReport, NewsSeen, RunCounts, RunShape, StartTime, StartTimes, StoreContact,
+    DrainReport, LimitReport, RunCounts, RunShape, SeenRevisions, StartTime, StartTimes,
+    StoreContact,
 };
 
 /// One run in a report.
@@ -101,7 +102,7 @@
     /// Runners that the gateway recently failed to reach.
     pub silent: Vec<RunnerId>,
     /// Latest store revisions that the gateway has seen.
-    pub news: NewsSeen,
+    pub seen_revisions: SeenRevisions,
     /// The gateway's contact with the store.
     pub contact: StoreContact,
     /// Quota that client accounts have used at the gateway.
--- a/crates/bulrushusher_gateway/src/knowledge/memory.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/memory.rs
@@ -196,7 +196,7 @@
             failing,
             silent,
             starts,
-            news: self.news_told(),
+            seen_revisions: self.news_told(),
             contact: self.contact(),
             spends: Spends::default(),
             limits,
--- a/crates/bulrushusher_gateway/src/knowledge/news.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/news.rs
@@ -1,6 +1,6 @@
 //! What this gateway and its peers know of the store's changes.
 
-use bulrushusher_forward::{NewsConfig, NewsSeen};
+use bulrushusher_forward::{LongPollConfig, SeenRevisions};
 use bulrushusher_time::Millis;
 use tokio::sync::watch;
 
@@ -29,9 +29,9 @@
     }
 
     /// The changes that this gateway knows, for its peers.
-    pub(crate) fn news_told(&self) -> NewsSeen {
+    pub(crate) fn news_told(&self) -> SeenRevisions {
         let version = self.routing().map_or(0, |routing| routing.version);
-        NewsSeen { version, ..self.news.lock().told }
+        SeenRevisions { version, ..self.news.lock().told }
     }
 
     /// The store holds that version of the configuration, be it in force or an older copy.
@@ -43,7 +43,7 @@
     /// from an older copy, and vouches for nothing until the operator has written again.
     pub(super) fn store_is_behind(&self) -> bool {
         let now = self.now();
-        let known = self.news_told().max(self.runs.lock().news_of_peers(now)).version;
+        let known = self.news_told().max(self.runs.lock().revisions_seen_by_peers(now)).version;
         self.news.lock().stored_version < known
     }
 
@@ -65,7 +65,7 @@
     /// How long to wait for a topic's changes, beside the peers that watch too; alone it would be `alone`.
     pub(crate) fn news_wait(&self, alone: Millis) -> Millis {
         let peers = self.relay_view.borrow().watching.len();
-        let wait = NewsConfig::default().wait(alone, peers);
+        let wait = LongPollConfig::default().wait(alone, peers);
         // Spread, so that gateways that began together are not all answered at the same time.
         let spread = 0.5 + 0.5 * self.draw();
         wait.share(spread).max(alone)
@@ -82,7 +82,7 @@
             };
             let now = self.now();
             let since = *behind_since.get_or_insert(now);
-            if now.since(since) >= NewsConfig::default().behind_for {
+            if now.since(since) >= LongPollConfig::default().behind_grace {
                 return theirs;
             }
         }
@@ -90,13 +90,13 @@
 
     /// The last change that a peer knows, if it is not known here.
     fn behind_peers(&self, topic: Topic) -> Option<u64> {
-        let theirs = of_topic(self.runs.lock().news_of_peers(self.now()), topic);
+        let theirs = of_topic(self.runs.lock().revisions_seen_by_peers(self.now()), topic);
         (theirs > self.news_seen(topic)).then_some(theirs)
     }
 }
 
 /// A topic's part of the news.
-pub(super) fn of_topic(news: NewsSeen, topic: Topic) -> u64 {
+pub(super) fn of_topic(news: SeenRevisions, topic: Topic) -> u64 {
     match topic {
         Topic::Configuration => news.configuration,
         Topic::Runners => news.runners,
@@ -107,9 +107,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct KnownNews {
     /// The last changes.
-    told: NewsSeen,
+    told: SeenRevisions,
     /// The revisions up to which nothing was missed.
-    seen: NewsSeen,
+    seen: SeenRevisions,
     /// Version of the configuration that the store held last.
     stored_version: u64,
 }
--- a/crates/bulrushusher_gateway/src/knowledge/passing_on.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/passing_on.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use bulrushusher_forward::{
-    ChangeLog, DeltaNews, DeltaPages, DeltaRequest, NewsSeen, RoutingConfig, RoutingDelta,
-    RunnerChange, RunnerDelta, StoreRole, era_of,
+    ChangeLog, DeltaNews, DeltaPages, DeltaRequest, RoutingConfig, RoutingDelta, RunnerChange,
+    RunnerDelta, SeenRevisions, StoreRole, era_of,
 };
 use serde::{Deserialize, Serialize};
 
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub(super) struct PassedOn {
     /// The last changes, as far as relays told.
-    told: NewsSeen,
+    told: SeenRevisions,
     /// The last change of the configuration that this gateway took in.
     routing: Option<ToldRouting>,
     log: ChangeLog,
@@ -40,7 +40,7 @@
 impl Default for PassedOn {
     fn default() -> PassedOn {
         PassedOn {
-            told: NewsSeen::default(),
+            told: SeenRevisions::default(),
             routing: None,
             log: ChangeLog::new(CHANGES_KEPT),
             pages: DeltaPages::default(),
@@ -121,7 +121,7 @@
     }
 
     /// Takes in what a relay tells of the last changes.
-    pub(crate) fn hear_store_news(&self, news: NewsSeen) {
+    pub(crate) fn hear_store_news(&self, news: SeenRevisions) {
         let mut state = self.passed.lock();
         let told = state.told.max(news);
         let is_new = std::mem::replace(&mut state.told, told) != told;
@@ -153,7 +153,7 @@
     pub(crate) fn relays_that_know(&self, change: u64) -> Vec<Arc<str>> {
         let watching = self.relay_view.borrow().watching.clone();
         let runs = self.runs.lock();
-        let knows = |name: &&Arc<str>| runs.news_of(name).runners >= change;
+        let knows = |name: &&Arc<str>| runs.revisions_seen_by(name).runners >= change;
         let know: Vec<Arc<str>> = watching.iter().filter(knows).cloned().collect();
         if know.is_empty() { watching } else { know }
     }
@@ -174,7 +174,7 @@
 
     /// The last change of a topic that relays or other peers have told of.
     pub(crate) fn told_of(&self, topic: Topic) -> u64 {
-        let peers = self.runs.lock().news_of_peers(self.now());
+        let peers = self.runs.lock().revisions_seen_by_peers(self.now());
         of_topic(self.passed.lock().told.max(peers), topic)
     }
 
--- a/crates/bulrushusher_gateway/src/peers/relaying.rs
+++ b/crates/bulrushusher_gateway/src/peers/relaying.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 
-use bulrushusher_forward::{DeltaNews, DeltaRequest, NewsSeen, RunnerDelta};
+use bulrushusher_forward::{DeltaNews, DeltaRequest, RunnerDelta, SeenRevisions};
 use bulrushusher_time::Millis;
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct StoreNews {
     /// The last changes that it knows.
-    pub news: NewsSeen,
+    pub news: SeenRevisions,
     /// What changed in the list of runners.
     pub runners: Option<RunnerDelta>,
     /// What the last change of the configuration was.
--- a/crates/bulrushusher_gateway/src/store/renewing.rs
+++ b/crates/bulrushusher_gateway/src/store/renewing.rs
@@ -5,7 +5,7 @@
 
 use std::sync::Arc;
 
-use bulrushusher_forward::{NewsSeen, era_of};
+use bulrushusher_forward::{SeenRevisions, era_of};
 use bulrushusher_report::GatewayMetrics;
 use bulrushusher_time::Millis;
 
@@ -95,7 +95,7 @@
         let (topic, freshness) = (Topic::Configuration, Freshness::Latest);
         let news = self.store.list(topic, freshness, CALL_TIMEOUT, &|_: &[Change]| ()).await?;
         if era_of(news.revision) != era_of(self.knowledge.news_seen(topic)) {
-            let told = NewsSeen { configuration: news.revision, ..NewsSeen::default() };
+            let told = SeenRevisions { configuration: news.revision, ..SeenRevisions::default() };
             self.knowledge.hear_store_news(told);
             return Err(StoreFailure::Restored);
         }
