--- a/crates/bulrushusher_forward/benches/place.rs
+++ b/crates/bulrushusher_forward/benches/place.rs
@@ -4,7 +4,7 @@
 
 use bulrushusher_forward::{
     Candidate, ForecastConfig, GatewayReport, LengthModel, LoadConfig, MemoryForecast, PeersConfig,
-    RunNote, RunShape, Runner, RunnerDirectory, RunnerDirectoryConfig, RunnerLoads, Runs, Stage,
+    RunReport, RunShape, Runner, RunnerDirectory, RunnerDirectoryConfig, RunnerLoads, Runs, Stage,
     rank_for_decode,
 };
 use bulrushusher_time::Millis;
@@ -44,15 +44,15 @@
             leaving: false,
         });
     }
-    let mut reports = vec![GatewayReport { number: 1, ..GatewayReport::default() }; gateways];
+    let mut reports = vec![GatewayReport { sequence: 1, ..GatewayReport::default() }; gateways];
     for run in 0..runners * RUNS_EACH {
         let made = (run * 977 % 4_000) as f64;
-        let note = RunNote::new(runner_id(run % runners), RunShape { made, ..RUN });
-        reports[run % gateways].runs.push(RunNote { begun: true, ..note });
+        let note = RunReport::new(runner_id(run % runners), RunShape { made, ..RUN });
+        reports[run % gateways].runs.push(RunReport { is_generating: true, ..note });
     }
     let mut runs = Runs::new(PeersConfig::default());
     for (n, report) in reports.into_iter().enumerate() {
-        runs.hear(&format!("gateway-{n}"), report, Millis(0));
+        runs.apply_report(&format!("gateway-{n}"), report, Millis(0));
     }
     let forecast = MemoryForecast {
         lengths: LengthModel::default(),
--- a/crates/bulrushusher_forward/src/by_runner.rs
+++ b/crates/bulrushusher_forward/src/by_runner.rs
@@ -6,7 +6,7 @@
 use bulrushusher_time::Millis;
 use bulrushusher_world::RunnerId;
 
-use crate::{GatewayReport, MemoryNeed, RunNote, RunNumber};
+use crate::{GatewayReport, MemoryNeed, RunNumber, RunReport};
 
 /// A peer, numbered in the order of first contact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -21,7 +21,8 @@
 }
 
 /// How long a computed memory need is extrapolated previous it is recomputed, if the set of runs
-/// stays the same. In a burst, a gateway reads the need of each runner a hundred times a second.
+/// stays the same. In a burst, a gateway prefill_tokens the need of each runner a hundred times a
+/// second.
 const NEED_CACHE_TTL: Millis = Millis(30);
 
 /// Runs and reported state of one runner.
@@ -30,11 +31,11 @@
     /// This gateway's runs.
     pub own: Vec<RunNumber>,
     /// Runs of peers.
-    pub runs: Vec<Reported<RunNote>>,
+    pub runs: Vec<Reported<RunReport>>,
     /// Prompt tokens that peers have in flight there.
-    pub reads: Vec<Reported<u64>>,
+    pub prefill_tokens: Vec<Reported<u64>>,
     /// Peers that report that the runner is switching its stage.
-    pub changing: Vec<Reported<()>>,
+    pub switching_stage: Vec<Reported<()>>,
     /// Peers that cannot reach the runner.
     pub silent: Vec<Reported<()>>,
     need: Cell<Option<(Millis, MemoryNeed)>>,
@@ -61,16 +62,16 @@
 
     /// Drops all that the peer reported except its runs.
     fn remove_state(&mut self, by: PeerNumber) {
-        self.reads.retain(|reported| reported.by != by);
-        self.changing.retain(|reported| reported.by != by);
+        self.prefill_tokens.retain(|reported| reported.by != by);
+        self.switching_stage.retain(|reported| reported.by != by);
         self.silent.retain(|reported| reported.by != by);
     }
 
     fn is_empty(&self) -> bool {
         self.own.is_empty()
             && self.runs.is_empty()
-            && self.reads.is_empty()
-            && self.changing.is_empty()
+            && self.prefill_tokens.is_empty()
+            && self.switching_stage.is_empty()
             && self.silent.is_empty()
     }
 }
@@ -104,38 +105,38 @@
         }
         self.insert(by, report, at);
         let (changed, ended) = report.diff(previous);
-        // A moved run is no longer at its former runner, whose need changes too.
+        // A moved run is no longer at its former runner, whose need delta too.
         let moved =
-            previous.runs.iter().filter(|note| changed.iter().any(|it| it.number == note.number));
-        for note in moved.chain(changed.iter().copied()).chain(ended) {
-            self.entry(&note.runner).invalidate_need();
+            previous.runs.iter().filter(|run| changed.iter().any(|it| it.number == run.number));
+        for run in moved.chain(changed.iter().copied()).chain(ended) {
+            self.entry(&run.runner).invalidate_need();
         }
         self.remove_empty(previous.runners());
     }
 
-    /// Applies a peer's delta: removes the runs in `removed`, adds the runs in `changes`, and
+    /// Applies a peer's delta: removes the runs in `removed`, adds the runs in `delta`, and
     /// replaces the peer's other state, which was reported in `previous`.
     pub(crate) fn apply_delta(
         &mut self,
         by: PeerNumber,
         previous: &GatewayReport,
-        removed: &[RunNote],
-        changes: &GatewayReport,
+        removed: &[RunReport],
+        delta: &GatewayReport,
         at: Millis,
     ) {
         for runner in previous.runners() {
             self.entry(runner).remove_state(by);
         }
-        for note in removed {
-            let state = self.entry(&note.runner);
-            state.runs.retain(|reported| reported.by != by || reported.value.number != note.number);
+        for run in removed {
+            let state = self.entry(&run.runner);
+            state.runs.retain(|reported| reported.by != by || reported.value.number != run.number);
             state.invalidate_need();
         }
-        self.insert(by, changes, at);
-        for note in &changes.runs {
-            self.entry(&note.runner).invalidate_need();
+        self.insert(by, delta, at);
+        for run in &delta.runs {
+            self.entry(&run.runner).invalidate_need();
         }
-        self.remove_empty(previous.runners().chain(removed.iter().map(|note| &note.runner)));
+        self.remove_empty(previous.runners().chain(removed.iter().map(|run| &run.runner)));
     }
 
     /// Drops the index entries of runners without any state.
@@ -148,14 +149,14 @@
     }
 
     fn insert(&mut self, by: PeerNumber, report: &GatewayReport, at: Millis) {
-        for note in &report.runs {
-            self.entry(&note.runner).runs.push(Reported { by, at, value: note.clone() });
+        for run in &report.runs {
+            self.entry(&run.runner).runs.push(Reported { by, at, value: run.clone() });
         }
-        for (runner, tokens) in &report.reads {
-            self.entry(runner).reads.push(Reported { by, at, value: *tokens });
+        for (runner, tokens) in &report.prefill_tokens {
+            self.entry(runner).prefill_tokens.push(Reported { by, at, value: *tokens });
         }
-        for runner in &report.changing {
-            self.entry(runner).changing.push(Reported { by, at, value: () });
+        for runner in &report.switching_stage {
+            self.entry(runner).switching_stage.push(Reported { by, at, value: () });
         }
         for runner in &report.silent {
             self.entry(runner).silent.push(Reported { by, at, value: () });
--- a/crates/bulrushusher_forward/src/choose.rs
+++ b/crates/bulrushusher_forward/src/choose.rs
@@ -133,7 +133,7 @@
 const CHOICES: usize = 2;
 
 fn staged<'a>(cx: Candidate<'a>, stage: Stage, tried: &[RunnerId]) -> Vec<&'a Runner> {
-    let changes = |r: &Runner| cx.runs.is_some_and(|runs| runs.is_changing(&r.id, cx.now));
+    let changes = |r: &Runner| cx.runs.is_some_and(|runs| runs.is_switching_stage(&r.id, cx.now));
     let of_stage = cx.open().filter(|r| r.stage == Some(stage));
     let of_stage = of_stage.filter(|r| !changes(r));
     awake_if_any(cx, of_stage.filter(|r| !tried.contains(&r.id)).collect())
--- a/crates/bulrushusher_forward/src/lib.rs
+++ b/crates/bulrushusher_forward/src/lib.rs
@@ -64,7 +64,7 @@
 pub use reading::{DecodeLoad, Prompt, ReadConfig, Reader};
 pub use relays::{RelayPeer, RelayView, Relays, RelaysConfig, StoreContact, StoreRole};
 pub use repeat::{AttemptEnd, AttemptPlan, FinalAnswer, NextStep};
-pub use report::{GatewayChanges, GatewayReport, RunNote};
+pub use report::{GatewayDelta, GatewayReport, RunReport};
 pub use request::{PromptSize, RequestId};
 pub use returns::{ReturnConfig, UsualPatience};
 pub use revision::{era_of, number_of, revision_in_era};
@@ -78,7 +78,7 @@
     ChangeLog, DeltaNews, DeltaPages, DeltaRequest, RunnerChange, RunnerDelta,
 };
 pub use runner_directory::{DrainReport, RunnerDirectory, RunnerDirectoryConfig, RunnerListDiff};
-pub use runs::{ChangesNews, PeersConfig, RunNumber, Runs};
+pub use runs::{DeltaOutcome, PeersConfig, RunNumber, Runs};
 pub use shutdown::{Shutdown, ShutdownConfig};
 pub use signals::RunnerSignals;
 pub use stages::{DutyConfig, StageChange, StageDuty, StagesConfig, next_stage_change};
--- a/crates/bulrushusher_forward/src/moves.rs
+++ b/crates/bulrushusher_forward/src/moves.rs
@@ -7,7 +7,7 @@
 use bulrushusher_time::Millis;
 
 use crate::{
-    Candidate, ForecastConfig, MemoryForecast, MemoryNeed, RunNote, RunNumber, Runner, Runs,
+    Candidate, ForecastConfig, MemoryForecast, MemoryNeed, RunNumber, RunReport, Runner, Runs,
     rank_for_decode,
 };
 
@@ -78,8 +78,8 @@
         run: RunNumber,
         forecast: &MemoryForecast,
         now: Millis,
-    ) -> Option<&RunNote> {
-        let note = self.note(run)?;
+    ) -> Option<&RunReport> {
+        let note = self.get(run)?;
         let there = self.need_at(&note.runner, forecast, now);
         let is_due = forecast.overflows_soon(&there, MoveConfig::default())
             && self.is_newest(run, forecast.tokens_per_ms, now);
@@ -93,7 +93,7 @@
     cx: Candidate<'_>,
     runs: &Runs,
     forecast: &MemoryForecast,
-    note: &RunNote,
+    note: &RunReport,
     draw: f64,
 ) -> Option<Runner> {
     let need = forecast.need(&[note.shape()]);
--- a/crates/bulrushusher_forward/src/peer_state.rs
+++ b/crates/bulrushusher_forward/src/peer_state.rs
@@ -10,7 +10,7 @@
 
 impl Runs {
     /// Number of peers whose last message is recent.
-    pub fn peers(&self, now: Millis) -> usize {
+    pub fn peer_count(&self, now: Millis) -> usize {
         self.live_peers(now).count()
     }
 
@@ -37,26 +37,26 @@
     }
 
     /// True while a peer has a waiting generation that can still meet its target.
-    pub fn peers_wait_on_time(&self, now: Millis) -> bool {
+    pub fn peers_have_on_time_waiting(&self, now: Millis) -> bool {
         self.live_peers(now).any(|peer| peer.report.waiting > 0)
     }
 
     /// Number of peers with waiting generations, late ones included.
-    pub fn peers_that_wait(&self, now: Millis) -> usize {
+    pub fn peers_with_waiting(&self, now: Millis) -> usize {
         let waits = |report: &GatewayReport| report.waiting + report.waiting_late > 0;
         self.live_peers(now).filter(|peer| waits(&peer.report)).count()
     }
 
     /// Prompt tokens that peers have in flight at a prefill runner.
-    pub fn reads_of_peers(&self, runner: &RunnerId, now: Millis) -> u64 {
-        let reads = self.by_runner.get(runner).map(|state| state.reads.as_slice());
-        self.reported_by_live_peers(reads, now).map(|reported| reported.value).sum()
+    pub fn prefill_tokens_of_peers(&self, runner: &RunnerId, now: Millis) -> u64 {
+        let tokens = self.by_runner.get(runner).map(|state| state.prefill_tokens.as_slice());
+        self.reported_by_live_peers(tokens, now).map(|reported| reported.value).sum()
     }
 
     /// True while a peer reports that the runner is switching its stage.
-    pub fn is_changing(&self, runner: &RunnerId, now: Millis) -> bool {
-        let changing = self.by_runner.get(runner).map(|state| state.changing.as_slice());
-        self.reported_by_live_peers(changing, now).next().is_some()
+    pub fn is_switching_stage(&self, runner: &RunnerId, now: Millis) -> bool {
+        let switching = self.by_runner.get(runner).map(|state| state.switching_stage.as_slice());
+        self.reported_by_live_peers(switching, now).next().is_some()
     }
 
     /// True while enough peers report the runner as unreachable. Two are required, so that a single
@@ -65,13 +65,13 @@
         let silent = self.by_runner.get(runner).map(|state| state.silent.as_slice());
         match self.reported_by_live_peers(silent, now).take(2).count() {
             0 => false,
-            1 => self.peers(now) == 1,
+            1 => self.peer_count(now) == 1,
             _ => true,
         }
     }
 
     /// Success and failure counts of failing runners, summed over all live peers.
-    pub fn failing_at_peers(&self, now: Millis) -> BTreeMap<RunnerId, RunCounts> {
+    pub fn failures_at_peers(&self, now: Millis) -> BTreeMap<RunnerId, RunCounts> {
         let mut sums: BTreeMap<RunnerId, RunCounts> = BTreeMap::new();
         for counts in self.live_peers(now).flat_map(|peer| &peer.report.failing) {
             let empty = || RunCounts { runner: counts.runner.clone(), good: 0.0, bad: 0.0 };
--- a/crates/bulrushusher_forward/src/report.rs
+++ b/crates/bulrushusher_forward/src/report.rs
@@ -13,7 +13,7 @@
 
 /// One run in a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RunNote {
+pub struct RunReport {
     /// Identifies the run within its gateway; 0 before memory is reserved for it.
     pub number: u64,
     /// The decode runner.
@@ -21,34 +21,34 @@
     /// Prompt tokens.
     pub prompt: u64,
     /// Tokens generated when the report was written.
-    pub made: u64,
+    pub generated: u64,
     /// Tokens already generated when the run last joined its runner's batch; above zero after a
     /// move or a preemption.
-    pub made_before: u64,
+    pub generated_at_join: u64,
     /// Output tokens expected by the caller.
     pub expected: u64,
     /// Maximum output tokens.
-    pub most: u64,
+    pub max_output: u64,
     /// True while the run generates. False while only memory is reserved, while the prompt is being
     /// processed, and while the run is preempted.
-    pub begun: bool,
+    pub is_generating: bool,
     /// True when the decode runner prefills the prompt itself.
-    pub reads_itself: bool,
+    pub prefills_itself: bool,
 }
 
-impl RunNote {
+impl RunReport {
     /// A run for which memory has been reserved.
-    pub fn new(runner: RunnerId, shape: RunShape) -> RunNote {
-        RunNote {
+    pub fn new(runner: RunnerId, shape: RunShape) -> RunReport {
+        RunReport {
             number: 0,
             runner,
             prompt: shape.prompt as u64,
-            made: shape.made as u64,
-            made_before: shape.made as u64,
+            generated: shape.made as u64,
+            generated_at_join: shape.made as u64,
             expected: shape.expected as u64,
-            most: shape.most as u64,
-            begun: false,
-            reads_itself: false,
+            max_output: shape.most as u64,
+            is_generating: false,
+            prefills_itself: false,
         }
     }
 
@@ -59,10 +59,10 @@
 
     /// Memory shape after `grown` more tokens.
     pub(crate) fn shape_after(&self, grown: f64) -> RunShape {
-        let most = self.most as f64;
+        let most = self.max_output as f64;
         RunShape {
             prompt: self.prompt as f64,
-            made: (self.made as f64 + grown).min((most - 1.0).max(0.0)),
+            made: (self.generated as f64 + grown).min((most - 1.0).max(0.0)),
             expected: self.expected as f64,
             most,
         }
@@ -70,13 +70,13 @@
 
     /// Tokens generated since the run last joined its runner's batch.
     pub(crate) fn generated_since_join(&self) -> u64 {
-        self.made.saturating_sub(self.made_before)
+        self.generated.saturating_sub(self.generated_at_join)
     }
 
     /// True when nothing but the number of generated tokens differs from `before`; receivers
     /// extrapolate that number themselves.
-    fn is_unchanged_since(&self, before: &RunNote) -> bool {
-        RunNote { made: before.made, ..self.clone() } == *before
+    fn is_unchanged_since(&self, before: &RunReport) -> bool {
+        RunReport { generated: before.generated, ..self.clone() } == *before
     }
 }
 
@@ -84,19 +84,19 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GatewayReport {
     /// Start of the reporting gateway in Unix ms; a later start supersedes an earlier one.
-    pub life: u64,
+    pub incarnation: u64,
     /// Sequence number of the report; a report that arrives after a later one is dropped.
-    pub number: u64,
+    pub sequence: u64,
     /// Generations that wait for memory and can still meet their target.
     pub waiting: u32,
     /// Generations that wait for memory and are already late.
     pub waiting_late: u32,
     /// The gateway's runs.
-    pub runs: Vec<RunNote>,
+    pub runs: Vec<RunReport>,
     /// Prompt tokens that the gateway has in flight at prefill runners.
-    pub reads: Vec<(RunnerId, u64)>,
+    pub prefill_tokens: Vec<(RunnerId, u64)>,
     /// Runners that are switching stage by an order of this gateway, or of others known to it.
-    pub changing: Vec<RunnerId>,
+    pub switching_stage: Vec<RunnerId>,
     /// Success and failure counts of runners with failed runs.
     pub failing: Vec<RunCounts>,
     /// Runners that the gateway recently failed to reach.
@@ -126,9 +126,9 @@
 
     /// The runners that have runs, prefills or state in this report, possibly with duplicates.
     pub(crate) fn runners(&self) -> impl Iterator<Item = &RunnerId> {
-        let runs = self.runs.iter().map(|note| &note.runner);
-        let reads = self.reads.iter().map(|(runner, _)| runner);
-        runs.chain(reads).chain(&self.changing).chain(&self.silent)
+        let runs = self.runs.iter().map(|run| &run.runner);
+        let prefills = self.prefill_tokens.iter().map(|(runner, _)| runner);
+        runs.chain(prefills).chain(&self.switching_stage).chain(&self.silent)
     }
 
     /// All runners in this report, including those with failure counts only.
@@ -145,12 +145,12 @@
     pub(crate) fn diff<'a>(
         &'a self,
         before: &'a GatewayReport,
-    ) -> (Vec<&'a RunNote>, Vec<&'a RunNote>) {
-        let mut known: HashMap<u64, &RunNote> =
-            before.runs.iter().map(|note| (note.number, note)).collect();
-        let is_changed = |note: &&RunNote| {
-            let before = known.remove(&note.number);
-            !before.is_some_and(|before| note.is_unchanged_since(before))
+    ) -> (Vec<&'a RunReport>, Vec<&'a RunReport>) {
+        let mut known: HashMap<u64, &RunReport> =
+            before.runs.iter().map(|run| (run.number, run)).collect();
+        let is_changed = |run: &&RunReport| {
+            let before = known.remove(&run.number);
+            !before.is_some_and(|before| run.is_unchanged_since(before))
         };
         let changed = self.runs.iter().filter(is_changed).collect();
         (changed, known.into_values().collect())
@@ -158,9 +158,9 @@
 
     /// Removes the runners for which `matches` returns true.
     pub(crate) fn remove_runners(&mut self, matches: impl Fn(&RunnerId) -> bool) {
-        self.runs.retain(|note| !matches(&note.runner));
-        self.reads.retain(|(runner, _)| !matches(runner));
-        self.changing.retain(|runner| !matches(runner));
+        self.runs.retain(|run| !matches(&run.runner));
+        self.prefill_tokens.retain(|(runner, _)| !matches(runner));
+        self.switching_stage.retain(|runner| !matches(runner));
         self.failing.retain(|counts| !matches(&counts.runner));
         self.silent.retain(|runner| !matches(runner));
     }
@@ -170,39 +170,39 @@
 /// numbers of runs that ended. Progress of runs is omitted; all other fields are sent in full.
 ///
 /// ```
-/// use bulrushusher_forward::{GatewayChanges, GatewayReport, RunNote, RunShape};
-/// let run = RunShape { prompt: 5_000.0, made: 0.0, expected: 3_000.0, most: 9_000.0 };
-/// let note = RunNote { number: 1, ..RunNote::new("i-1".try_into().unwrap(), run) };
-/// let before = GatewayReport { number: 1, runs: vec![note.clone()], ..GatewayReport::default() };
+/// use bulrushusher_forward::{GatewayDelta, GatewayReport, RunReport, RunShape};
+/// let shape = RunShape { prompt: 5_000.0, made: 0.0, expected: 3_000.0, most: 9_000.0 };
+/// let run = RunReport { number: 1, ..RunReport::new("i-1".try_into().unwrap(), shape) };
+/// let before = GatewayReport { sequence: 1, runs: vec![run.clone()], ..GatewayReport::default() };
 /// let grown = GatewayReport {
-///     number: 2,
-///     runs: vec![RunNote { made: 70, ..note.clone() }],
+///     sequence: 2,
+///     runs: vec![RunReport { generated: 70, ..run.clone() }],
 ///     ..before.clone()
 /// };
-/// let changes = GatewayChanges::between(&before, &grown);
-/// assert!(changes.report.runs.is_empty() && changes.ended.is_empty());
-/// let ended = GatewayReport { number: 3, runs: Vec::new(), ..grown.clone() };
-/// assert_eq!(GatewayChanges::between(&grown, &ended).ended, [1]);
+/// let delta = GatewayDelta::between(&before, &grown);
+/// assert!(delta.report.runs.is_empty() && delta.ended.is_empty());
+/// let ended = GatewayReport { sequence: 3, runs: Vec::new(), ..grown.clone() };
+/// assert_eq!(GatewayDelta::between(&grown, &ended).ended, [1]);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct GatewayChanges {
+pub struct GatewayDelta {
     /// The later report, with changed runs only.
     pub report: GatewayReport,
     /// Numbers of runs that ended.
     pub ended: Vec<u64>,
 }
 
-impl GatewayChanges {
+impl GatewayDelta {
     /// The delta from one report to the next.
-    pub fn between(before: &GatewayReport, now: &GatewayReport) -> GatewayChanges {
+    pub fn between(before: &GatewayReport, now: &GatewayReport) -> GatewayDelta {
         let (changed, ended) = now.diff(before);
         let runs = changed.into_iter().cloned().collect();
-        let ended = ended.into_iter().map(|note| note.number).collect();
-        GatewayChanges { report: GatewayReport { runs, ..now.clone() }, ended }
+        let ended = ended.into_iter().map(|run| run.number).collect();
+        GatewayDelta { report: GatewayReport { runs, ..now.clone() }, ended }
     }
 
     /// True when the delta contains the run.
     pub(crate) fn mentions(&self, number: u64) -> bool {
-        self.ended.contains(&number) || self.report.runs.iter().any(|note| note.number == number)
+        self.ended.contains(&number) || self.report.runs.iter().any(|run| run.number == number)
     }
 }
--- a/crates/bulrushusher_forward/src/runs.rs
+++ b/crates/bulrushusher_forward/src/runs.rs
@@ -8,7 +8,7 @@
 
 use crate::by_runner::{ByRunner, PeerNumber, Reported};
 use crate::{
-    GatewayChanges, GatewayReport, MemoryForecast, MemoryNeed, RunNote, RunShape, StartStatus,
+    GatewayDelta, GatewayReport, MemoryForecast, MemoryNeed, RunReport, RunShape, StartStatus,
     StartTime, StartTimes,
 };
 
@@ -34,13 +34,13 @@
 
 /// Result of applying a peer's delta.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ChangesNews {
+pub enum DeltaOutcome {
     /// It was applied and follows the last known report.
-    Taken,
+    Applied,
     /// It is not newer than the last known report.
-    Old,
+    Stale,
     /// The report before it is missing; a full report is needed.
-    Missed,
+    Gap,
 }
 
 /// Number of a run of this gateway.
@@ -52,7 +52,7 @@
 pub struct Runs {
     cfg: PeersConfig,
     last_run: u64,
-    own: HashMap<RunNumber, RunNote>,
+    own: HashMap<RunNumber, RunReport>,
     pub(crate) peers: HashMap<Arc<str>, Peer>,
     last_peer: usize,
     pub(crate) by_runner: ByRunner,
@@ -111,70 +111,70 @@
     }
 
     /// Adds a run for which memory has been reserved.
-    pub fn hold(&mut self, mut note: RunNote) -> RunNumber {
+    pub fn add(&mut self, mut report: RunReport) -> RunNumber {
         self.last_run += 1;
-        note.number = self.last_run;
+        report.number = self.last_run;
         let run = RunNumber(self.last_run);
-        let state = self.by_runner.entry(&note.runner);
+        let state = self.by_runner.entry(&report.runner);
         state.own.push(run);
         state.invalidate_need();
-        self.own.insert(run, note);
+        self.own.insert(run, report);
         run
     }
 
     /// Marks that the run's decode runner prefills the prompt itself.
-    pub fn reads_itself(&mut self, run: RunNumber) {
-        if let Some(note) = self.own.get_mut(&run) {
-            note.reads_itself = true;
+    pub fn mark_prefills_itself(&mut self, run: RunNumber) {
+        if let Some(report) = self.own.get_mut(&run) {
+            report.prefills_itself = true;
         }
     }
 
     /// Prompt tokens that a decode runner is currently prefilling itself.
-    pub fn tokens_read_by(&self, runner: &RunnerId, now: Millis) -> u64 {
+    pub fn self_prefill_tokens(&self, runner: &RunnerId, now: Millis) -> u64 {
         let of_peers = self.runs_of_peers(runner, now).map(|reported| &reported.value);
-        let reads = |note: &&RunNote| note.reads_itself && !note.begun;
-        self.own_at(runner).chain(of_peers).filter(reads).map(|note| note.prompt).sum()
+        let is_prefilling = |report: &&RunReport| report.prefills_itself && !report.is_generating;
+        self.own_at(runner).chain(of_peers).filter(is_prefilling).map(|report| report.prompt).sum()
     }
 
     /// Records that the run generates nothing at present: it is preempted, or its engine is stuck.
     pub fn stall(&mut self, run: RunNumber) {
-        if let Some(note) = self.own.get_mut(&run) {
-            note.begun = false;
+        if let Some(report) = self.own.get_mut(&run) {
+            report.is_generating = false;
         }
     }
 
     /// Records that the run has begun, or the number of tokens that it has generated. A run that
     /// resumes after a stall is the newest in its engine's batch.
-    pub fn progress(&mut self, run: RunNumber, made: u64) {
-        if let Some(note) = self.own.get_mut(&run) {
-            if !note.begun {
-                note.made_before = note.made;
+    pub fn progress(&mut self, run: RunNumber, generated: u64) {
+        if let Some(report) = self.own.get_mut(&run) {
+            if !report.is_generating {
+                report.generated_at_join = report.generated;
             }
-            note.begun = true;
-            note.made = note.made.max(made);
+            report.is_generating = true;
+            report.generated = report.generated.max(generated);
         }
     }
 
     /// Removes a run that has ended or released its memory.
-    pub fn end(&mut self, run: RunNumber) -> Option<RunNote> {
-        let note = self.own.remove(&run)?;
-        self.by_runner.remove_own(&note.runner, run);
-        Some(note)
+    pub fn end(&mut self, run: RunNumber) -> Option<RunReport> {
+        let report = self.own.remove(&run)?;
+        self.by_runner.remove_own(&report.runner, run);
+        Some(report)
     }
 
     /// This gateway's runs.
-    pub fn own(&self) -> impl Iterator<Item = &RunNote> {
+    pub fn own(&self) -> impl Iterator<Item = &RunReport> {
         self.own.values()
     }
 
     /// Applies a peer's report; returns false when a later one was already received. After a
     /// silence any report is accepted: a peer that restarts with its clock set back has a lower
-    /// `life` than before, and would otherwise be ignored until its clock catches up.
-    pub fn hear(&mut self, peer: &str, report: GatewayReport, now: Millis) -> bool {
+    /// `incarnation` than before, and would otherwise be ignored until its clock catches up.
+    pub fn apply_report(&mut self, peer: &str, report: GatewayReport, now: Millis) -> bool {
         let live = self.peers.get(peer).filter(|known| self.is_peer_live(known, now));
         if let Some(known) = live {
-            let latest = (known.report.life, known.report.number);
-            if (report.life, report.number) <= latest {
+            let latest = (known.report.incarnation, known.report.sequence);
+            if (report.incarnation, report.sequence) <= latest {
                 return false;
             }
         }
@@ -192,39 +192,35 @@
 
     /// Applies a delta to a peer's last report. If the report before it is missing, the delta is
     /// applied nevertheless; the full report that is then due closes the gap.
-    pub fn hear_changes(
-        &mut self,
-        peer: &str,
-        changes: GatewayChanges,
-        now: Millis,
-    ) -> ChangesNews {
+    pub fn apply_delta(&mut self, peer: &str, delta: GatewayDelta, now: Millis) -> DeltaOutcome {
         let live = self.peers.get(peer).filter(|known| self.is_peer_live(known, now));
-        let Some((life, last)) = live.map(|it| (it.report.life, it.report.number)) else {
-            return ChangesNews::Missed;
+        let Some((incarnation, last)) = live.map(|it| (it.report.incarnation, it.report.sequence))
+        else {
+            return DeltaOutcome::Gap;
         };
-        let report = &changes.report;
-        if (report.life, report.number) <= (life, last) {
-            return ChangesNews::Old;
+        let report = &delta.report;
+        if (report.incarnation, report.sequence) <= (incarnation, last) {
+            return DeltaOutcome::Stale;
         }
-        if report.life != life {
-            return ChangesNews::Missed;
+        if report.incarnation != incarnation {
+            return DeltaOutcome::Gap;
         }
-        let follows = report.number == last + 1;
-        let mut changes = changes;
-        self.drop_superseded(&mut changes.report);
-        let Some(known) = self.peers.get_mut(peer) else { return ChangesNews::Missed };
+        let follows = report.sequence == last + 1;
+        let mut delta = delta;
+        self.drop_superseded(&mut delta.report);
+        let Some(known) = self.peers.get_mut(peer) else { return DeltaOutcome::Gap };
         let mut before = std::mem::take(&mut known.report);
         let runs = std::mem::take(&mut before.runs);
-        let (removed, kept): (Vec<RunNote>, Vec<RunNote>) =
-            runs.into_iter().partition(|note| changes.mentions(note.number));
-        self.by_runner.apply_delta(known.number, &before, &removed, &changes.report, now);
+        let (removed, kept): (Vec<RunReport>, Vec<RunReport>) =
+            runs.into_iter().partition(|run| delta.mentions(run.number));
+        self.by_runner.apply_delta(known.number, &before, &removed, &delta.report, now);
         self.last_message.insert(known.number, now);
-        known.report = changes.report;
+        known.report = delta.report;
         known.report.runs.extend(kept);
         for (runner, born) in before.starts {
             known.report.starts.entry(runner).or_insert(born);
         }
-        if follows { ChangesNews::Taken } else { ChangesNews::Missed }
+        if follows { DeltaOutcome::Applied } else { DeltaOutcome::Gap }
     }
 
     /// Drops statements about earlier starts of runners. Done once on receipt, so that decisions
@@ -258,11 +254,11 @@
     }
 
     /// The runs at a runner. Those of peers are extrapolated by the time since their report.
-    pub fn at(&self, runner: &RunnerId, tokens_per_ms: f64, now: Millis) -> Vec<RunShape> {
-        let own = self.own_at(runner).map(|note| note.shape());
+    pub fn shapes_at(&self, runner: &RunnerId, tokens_per_ms: f64, now: Millis) -> Vec<RunShape> {
+        let own = self.own_at(runner).map(|report| report.shape());
         let of_peers = self.runs_of_peers(runner, now).map(|reported| {
             let grown = now.since(reported.at).0 as f64 * tokens_per_ms;
-            reported.value.shape_after(if reported.value.begun { grown } else { 0.0 })
+            reported.value.shape_after(if reported.value.is_generating { grown } else { 0.0 })
         });
         own.chain(of_peers).collect()
     }
@@ -270,12 +266,12 @@
     /// Memory that the runs at a runner will need. It is recomputed when its runs change, and
     /// periodically as they grow.
     pub fn need_at(&self, runner: &RunnerId, forecast: &MemoryForecast, now: Millis) -> MemoryNeed {
-        let compute = || forecast.need(&self.at(runner, forecast.tokens_per_ms, now));
+        let compute = || forecast.need(&self.shapes_at(runner, forecast.tokens_per_ms, now));
         let state = self.by_runner.get(runner);
         state.map_or_else(MemoryNeed::default, |state| state.need(now, compute))
     }
 
-    fn own_at(&self, runner: &RunnerId) -> impl Iterator<Item = &RunNote> {
+    fn own_at(&self, runner: &RunnerId) -> impl Iterator<Item = &RunReport> {
         let runs = self.by_runner.get(runner).into_iter().flat_map(|state| &state.own);
         runs.filter_map(|run| self.own.get(run))
     }
@@ -284,7 +280,7 @@
         &self,
         runner: &RunnerId,
         now: Millis,
-    ) -> impl Iterator<Item = &Reported<RunNote>> {
+    ) -> impl Iterator<Item = &Reported<RunReport>> {
         self.reported_by_live_peers(
             self.by_runner.get(runner).map(|state| state.runs.as_slice()),
             now,
@@ -301,24 +297,24 @@
     }
 
     /// A run of this gateway, with its runner and progress.
-    pub fn note(&self, run: RunNumber) -> Option<&RunNote> {
+    pub fn get(&self, run: RunNumber) -> Option<&RunReport> {
         self.own.get(&run)
     }
 
     /// True when no other generating run is known to have generated fewer tokens at this run's
     /// runner; an engine that is out of memory preempts the newest run first.
     pub fn is_newest(&self, run: RunNumber, tokens_per_ms: f64, now: Millis) -> bool {
-        let Some(note) = self.own.get(&run) else { return false };
-        let own = self.own_at(&note.runner).filter(|other| !std::ptr::eq(*other, note));
+        let Some(report) = self.own.get(&run) else { return false };
+        let own = self.own_at(&report.runner).filter(|other| !std::ptr::eq(*other, report));
         let own_run_is_newer = own
-            .filter(|it| it.begun)
-            .any(|it| it.generated_since_join() < note.generated_since_join());
-        let peer_run_is_newer = self.runs_of_peers(&note.runner, now).any(|reported| {
+            .filter(|it| it.is_generating)
+            .any(|it| it.generated_since_join() < report.generated_since_join());
+        let peer_run_is_newer = self.runs_of_peers(&report.runner, now).any(|reported| {
             let grown = (now.since(reported.at).0 as f64 * tokens_per_ms) as u64;
-            reported.value.begun
-                && reported.value.generated_since_join() + grown < note.generated_since_join()
+            reported.value.is_generating
+                && reported.value.generated_since_join() + grown < report.generated_since_join()
         });
-        note.begun && !own_run_is_newer && !peer_run_is_newer
+        report.is_generating && !own_run_is_newer && !peer_run_is_newer
     }
 
     pub(crate) fn live_peers(&self, now: Millis) -> impl Iterator<Item = &Peer> {
--- a/crates/bulrushusher_forward/tests/changes.rs
+++ b/crates/bulrushusher_forward/tests/changes.rs
@@ -1,8 +1,8 @@
 //! Report deltas between two gateways over a network that loses, duplicates and reorders messages.
 
 use bulrushusher_forward::{
-    ChangesNews, ForecastConfig, GatewayChanges, GatewayReport, LengthModel, MemoryForecast,
-    PeersConfig, RunNote, RunNumber, RunShape, Runs,
+    DeltaOutcome, ForecastConfig, GatewayDelta, GatewayReport, LengthModel, MemoryForecast,
+    PeersConfig, RunNumber, RunReport, RunShape, Runs,
 };
 use bulrushusher_time::Millis;
 use bulrushusher_world::RunnerId;
@@ -34,7 +34,7 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         3 => (0..RUNNERS, 1_000..9_000_u64).prop_map(|(at, prompt)| Step::Hold(at, prompt)),
-        2 => (any::<usize>(), 0..MAX_GENERATED).prop_map(|(run, made)| Step::Progress(run, made)),
+        2 => (any::<usize>(), 0..MAX_GENERATED).prop_map(|(run, generated)| Step::Progress(run, generated)),
         1 => any::<usize>().prop_map(Step::Stall),
         2 => any::<usize>().prop_map(Step::End),
         4 => (0..3_u8).prop_map(Step::Send),
@@ -60,7 +60,7 @@
     sender: Runs,
     live: Vec<RunNumber>,
     last: GatewayReport,
-    sent: Vec<GatewayChanges>,
+    sent: Vec<GatewayDelta>,
     receiver: Runs,
     /// True while the receiver has missed no delta since the last full report.
     has_all: bool,
@@ -72,19 +72,19 @@
         let mut link = Link {
             sender: runs(),
             live: Vec::new(),
-            last: GatewayReport { life: 1, number: 1, ..GatewayReport::default() },
+            last: GatewayReport { incarnation: 1, sequence: 1, ..GatewayReport::default() },
             sent: Vec::new(),
             receiver: runs(),
             has_all: true,
         };
-        link.receiver.hear("g", link.last.clone(), Millis(0));
+        link.receiver.apply_report("g", link.last.clone(), Millis(0));
         link
     }
 
     fn report(&self) -> GatewayReport {
         GatewayReport {
-            life: 1,
-            number: self.last.number + 1,
+            incarnation: 1,
+            sequence: self.last.sequence + 1,
             runs: self.sender.own().cloned().collect(),
             ..GatewayReport::default()
         }
@@ -94,10 +94,10 @@
         match step {
             Step::Hold(at, prompt) => {
                 let shape = RunShape { prompt: prompt as f64, made: 0.0, expected: 2e3, most: 9e3 };
-                self.live.push(self.sender.hold(RunNote::new(runner(at), shape)));
+                self.live.push(self.sender.add(RunReport::new(runner(at), shape)));
             }
-            Step::Progress(run, made) if !self.live.is_empty() => {
-                self.sender.progress(self.live[run % self.live.len()], made);
+            Step::Progress(run, generated) if !self.live.is_empty() => {
+                self.sender.progress(self.live[run % self.live.len()], generated);
             }
             Step::Stall(run) if !self.live.is_empty() => {
                 self.sender.stall(self.live[run % self.live.len()]);
@@ -110,8 +110,8 @@
             Step::Send(times) => self.send(times),
             Step::Replay => {
                 if let Some(old) = self.sent.first().cloned() {
-                    let outcome = self.receiver.hear_changes("g", old, Millis(0));
-                    assert!(outcome == ChangesNews::Old || !self.has_all, "{outcome:?}");
+                    let outcome = self.receiver.apply_delta("g", old, Millis(0));
+                    assert!(outcome == DeltaOutcome::Stale || !self.has_all, "{outcome:?}");
                 }
             }
         }
@@ -119,18 +119,18 @@
 
     fn send(&mut self, times: u8) {
         let report = self.report();
-        let changes = GatewayChanges::between(&self.last, &report);
+        let delta = GatewayDelta::between(&self.last, &report);
         self.last = report;
-        self.sent.push(changes.clone());
+        self.sent.push(delta.clone());
         for _ in 0..times {
-            let outcome = self.receiver.hear_changes("g", changes.clone(), Millis(0));
-            if outcome == ChangesNews::Missed {
-                self.receiver.hear(
+            let outcome = self.receiver.apply_delta("g", delta.clone(), Millis(0));
+            if outcome == DeltaOutcome::Gap {
+                self.receiver.apply_report(
                     "g",
-                    GatewayReport { number: self.last.number + 1, ..self.last.clone() },
+                    GatewayReport { sequence: self.last.sequence + 1, ..self.last.clone() },
                     Millis(0),
                 );
-                self.last.number += 1;
+                self.last.sequence += 1;
                 self.has_all = true;
             }
         }
@@ -148,7 +148,7 @@
             };
             let sent = self.last.runs.iter().filter(|note| note.runner == runner(n));
             let sent = prompts(&mut sent.map(|note| note.prompt as f64));
-            let known = self.receiver.at(&runner(n), 1.4, Millis(0));
+            let known = self.receiver.shapes_at(&runner(n), 1.4, Millis(0));
             assert_eq!(prompts(&mut known.iter().map(|run| run.prompt)), sent, "runner {n}");
             // The cached need may count generated tokens of a few ms ago, but must have the current
             // runs.
@@ -189,48 +189,49 @@
 #[test]
 fn a_delta_that_does_not_follow_a_known_report_is_a_gap() {
     let mut runs = Runs::new(PeersConfig::default());
-    let report = GatewayReport { life: 1, number: 2, ..GatewayReport::default() };
-    let changes = GatewayChanges { report: report.clone(), ended: Vec::new() };
-    assert_eq!(runs.hear_changes("g", changes.clone(), Millis(0)), ChangesNews::Missed);
-    runs.hear("g", report, Millis(0));
-    let next = |number, life| GatewayChanges {
-        report: GatewayReport { life, number, ..changes.report.clone() },
+    let report = GatewayReport { incarnation: 1, sequence: 2, ..GatewayReport::default() };
+    let delta = GatewayDelta { report: report.clone(), ended: Vec::new() };
+    assert_eq!(runs.apply_delta("g", delta.clone(), Millis(0)), DeltaOutcome::Gap);
+    runs.apply_report("g", report, Millis(0));
+    let next = |sequence, incarnation| GatewayDelta {
+        report: GatewayReport { incarnation, sequence, ..delta.report.clone() },
         ended: Vec::new(),
     };
-    assert_eq!(runs.hear_changes("g", next(3, 1), Millis(0)), ChangesNews::Taken);
-    assert_eq!(runs.hear_changes("g", next(3, 1), Millis(0)), ChangesNews::Old);
+    assert_eq!(runs.apply_delta("g", next(3, 1), Millis(0)), DeltaOutcome::Applied);
+    assert_eq!(runs.apply_delta("g", next(3, 1), Millis(0)), DeltaOutcome::Stale);
     assert_eq!(
-        runs.hear_changes("g", next(5, 1), Millis(0)),
-        ChangesNews::Missed,
+        runs.apply_delta("g", next(5, 1), Millis(0)),
+        DeltaOutcome::Gap,
         "report 4 was lost"
     );
     assert_eq!(
-        runs.hear_changes("g", next(1, 2), Millis(0)),
-        ChangesNews::Missed,
+        runs.apply_delta("g", next(1, 2), Millis(0)),
+        DeltaOutcome::Gap,
         "the peer restarted"
     );
     let silent = PeersConfig::default().forget_after;
-    assert_eq!(
-        runs.hear_changes("g", next(6, 1), silent),
-        ChangesNews::Missed,
-        "the peer was silent"
-    );
+    assert_eq!(runs.apply_delta("g", next(6, 1), silent), DeltaOutcome::Gap, "the peer was silent");
 }
 
 #[test]
 fn runs_of_a_silent_peer_are_ignored() {
     let mut runs = Runs::new(PeersConfig::default());
     let shape = RunShape { prompt: 5_000.0, made: 0.0, expected: 2_000.0, most: 9_000.0 };
-    let note = RunNote { number: 1, begun: true, ..RunNote::new(runner(1), shape) };
-    let report = GatewayReport { life: 1, number: 1, runs: vec![note], ..GatewayReport::default() };
-    runs.hear("g", report.clone(), Millis(0));
-    let empty_delta = GatewayChanges {
-        report: GatewayReport { number: 2, runs: Vec::new(), ..report },
+    let note = RunReport { number: 1, is_generating: true, ..RunReport::new(runner(1), shape) };
+    let report =
+        GatewayReport { incarnation: 1, sequence: 1, runs: vec![note], ..GatewayReport::default() };
+    runs.apply_report("g", report.clone(), Millis(0));
+    let empty_delta = GatewayDelta {
+        report: GatewayReport { sequence: 2, runs: Vec::new(), ..report },
         ended: Vec::new(),
     };
-    runs.hear_changes("g", empty_delta, Millis(1_000));
-    let made = runs.at(&runner(1), 1.0, Millis(1_500))[0].made;
-    assert_eq!(made, 1_500.0, "the run is extrapolated from the report that contained it");
-    assert_eq!(runs.at(&runner(1), 1.0, Millis(3_900)).len(), 1, "its gateway is still live");
-    assert!(runs.at(&runner(1), 1.0, Millis(4_000)).is_empty());
+    runs.apply_delta("g", empty_delta, Millis(1_000));
+    let generated = runs.shapes_at(&runner(1), 1.0, Millis(1_500))[0].made;
+    assert_eq!(generated, 1_500.0, "the run is extrapolated from the report that contained it");
+    assert_eq!(
+        runs.shapes_at(&runner(1), 1.0, Millis(3_900)).len(),
+        1,
+        "its gateway is still live"
+    );
+    assert!(runs.shapes_at(&runner(1), 1.0, Millis(4_000)).is_empty());
 }
--- a/crates/bulrushusher_forward/tests/memory_machine.rs
+++ b/crates/bulrushusher_forward/tests/memory_machine.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use bulrushusher_forward::{
-    GatewayReport, PeersConfig, RunNote, RunNumber, RunShape, Runs, StartTime,
+    GatewayReport, PeersConfig, RunNumber, RunReport, RunShape, Runs, StartTime,
 };
 use bulrushusher_time::Millis;
 use bulrushusher_world::RunnerId;
@@ -243,9 +243,9 @@
     format!("i-{n}").as_str().try_into().expect("a good name")
 }
 
-fn note(n: u8, prompt: u64) -> RunNote {
+fn note(n: u8, prompt: u64) -> RunReport {
     let shape = RunShape { prompt: prompt as f64, made: 0.0, expected: 3_000.0, most: 9_000.0 };
-    RunNote::new(runner(n), shape)
+    RunReport::new(runner(n), shape)
 }
 
 impl Fleet {
@@ -253,7 +253,7 @@
         match step {
             Step::Hold { gateway, runner, prompt } => {
                 let gateway = &mut self.gateways[gateway];
-                gateway.live.push((gateway.runs.hold(note(runner, prompt)), runner));
+                gateway.live.push((gateway.runs.add(note(runner, prompt)), runner));
             }
             Step::Progress { gateway, run, made } => {
                 let gateway = &mut self.gateways[gateway];
@@ -275,7 +275,7 @@
                     self.written.get(message.checked_rem(self.written.len()).unwrap_or(0)).cloned()
                     && from != gateway
                 {
-                    self.gateways[gateway].runs.hear(&format!("g{from}"), report, self.now);
+                    self.gateways[gateway].runs.apply_report(&format!("g{from}"), report, self.now);
                 }
             }
             Step::Pass { ms } => self.now = self.now.plus(Millis(ms)),
@@ -302,8 +302,8 @@
         let gateway = &mut self.gateways[from];
         gateway.number += 1;
         let mut report = GatewayReport {
-            life: gateway.life,
-            number: gateway.number,
+            incarnation: gateway.life,
+            sequence: gateway.number,
             runs: gateway.runs.own().cloned().collect(),
             ..GatewayReport::default()
         };
@@ -331,7 +331,7 @@
     fn check_invariants(fleet: &Fleet, counts: &Counts) {
         for (n, gateway) in fleet.gateways.iter().enumerate() {
             for at in 0..RUNNERS {
-                let shapes = gateway.runs.at(&runner(at), 1.4, fleet.now);
+                let shapes = gateway.runs.shapes_at(&runner(at), 1.4, fleet.now);
                 assert_eq!(shapes.len(), counts.seen(n, at), "runs at {at} in the sight of {n}");
                 for shape in shapes {
                     assert!(shape.made < shape.most, "a run is taken beyond its most tokens");
--- a/crates/bulrushusher_forward/tests/silence.rs
+++ b/crates/bulrushusher_forward/tests/silence.rs
@@ -39,18 +39,18 @@
     assert!(loads.is_paused(&id(), Millis(1_299)) && !loads.is_paused(&id(), Millis(1_300)));
 }
 
-fn report(silent: Vec<RunnerId>, number: u64) -> GatewayReport {
-    GatewayReport { life: 1, number, silent, ..GatewayReport::default() }
+fn report(silent: Vec<RunnerId>, sequence: u64) -> GatewayReport {
+    GatewayReport { incarnation: 1, sequence, silent, ..GatewayReport::default() }
 }
 
 #[test]
 fn a_runner_is_silent_if_two_peers_or_the_only_peer_report_it() {
     let mut runs = Runs::new(PeersConfig::default());
-    runs.hear("g1", report(vec![id()], 1), Millis(0));
+    runs.apply_report("g1", report(vec![id()], 1), Millis(0));
     assert!(runs.is_silent_at_peers(&id(), Millis(0)), "the only peer decides");
-    runs.hear("g2", report(Vec::new(), 1), Millis(0));
+    runs.apply_report("g2", report(Vec::new(), 1), Millis(0));
     assert!(!runs.is_silent_at_peers(&id(), Millis(0)), "a single peer may be partitioned itself");
-    runs.hear("g3", report(vec![id()], 1), Millis(0));
+    runs.apply_report("g3", report(vec![id()], 1), Millis(0));
     assert!(runs.is_silent_at_peers(&id(), Millis(0)));
     assert!(!runs.is_silent_at_peers(&id(), Millis(4_000)), "outdated reports are ignored");
 }
--- a/crates/bulrushusher_gateway/src/knowledge/health.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/health.rs
@@ -17,7 +17,7 @@
         }
         let runner = &runner.id;
         let now = self.now();
-        let at_peers = self.runs.lock().failing_at_peers(now);
+        let at_peers = self.runs.lock().failures_at_peers(now);
         let peers = at_peers.get(runner);
         let mut health = self.health.lock();
         let failed_before = health.is_failing(runner, peers, now);
@@ -50,7 +50,7 @@
         service: &ServiceName,
         now: Millis,
     ) -> BTreeSet<RunnerId> {
-        let at_peers = runs.failing_at_peers(now);
+        let at_peers = runs.failures_at_peers(now);
         let health = self.health.lock();
         let usable = || runners.members.usable(service, now);
         let fails = |id: &RunnerId| health.is_failing(id, at_peers.get(id), now);
@@ -65,7 +65,7 @@
     /// What peers are told of runners that fail.
     pub(super) fn failing_told(&self) -> Vec<RunCounts> {
         let now = self.now();
-        let at_peers = self.runs.lock().failing_at_peers(now).into_keys().collect();
+        let at_peers = self.runs.lock().failures_at_peers(now).into_keys().collect();
         self.health.lock().told(&at_peers, now)
     }
 }
--- a/crates/bulrushusher_gateway/src/knowledge/memory.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/memory.rs
@@ -4,8 +4,8 @@
 
 use bulrushusher_accounts::Spends;
 use bulrushusher_forward::{
-    ChangesNews, DecodeLoad, GatewayChanges, GatewayReport, MemoryForecast, Prompt, RunNote,
-    RunNumber, RunShape, Runner, Stage, WaitingLine, asks_now, rank_for_decode,
+    DecodeLoad, DeltaOutcome, GatewayDelta, GatewayReport, MemoryForecast, Prompt, RunNumber,
+    RunReport, RunShape, Runner, Stage, WaitingLine, asks_now, rank_for_decode,
 };
 use bulrushusher_world::{RunnerId, ServiceName};
 
@@ -40,7 +40,7 @@
                 let peak = forecast.peak_if_it_fits(&there, &run)?;
                 let may_read = |prompt: &Prompt| {
                     prompt.decode_may_read(DecodeLoad {
-                        reading: runs.tokens_read_by(&runner.id, cx.now),
+                        reading: runs.self_prefill_tokens(&runner.id, cx.now),
                         runs: there.runs,
                         fullness: forecast.fullness(peak),
                     })
@@ -69,7 +69,7 @@
                 runners: peaks.len(),
                 lowest: peaks.iter().copied().min().unwrap_or(0),
                 room: forecast.room() as u64,
-                peers: runs.peers(now),
+                peers: runs.peer_count(now),
             }
         })
     }
@@ -92,9 +92,9 @@
     }
 
     /// Memory for a run is held.
-    pub(crate) fn hold_run(&self, note: RunNote) -> RunNumber {
+    pub(crate) fn hold_run(&self, note: RunReport) -> RunNumber {
         self.report_due.notify_one();
-        self.runs.lock().hold(note)
+        self.runs.lock().add(note)
     }
 
     /// A run has begun, or has made that many tokens; peers reckon its growth themselves.
@@ -125,10 +125,10 @@
     /// Takes in a peer's report.
     pub(crate) fn hear_peer(&self, peer: &str, mut report: GatewayReport) {
         let now = self.now();
-        let (life, spends) = (report.life, std::mem::take(&mut report.spends));
+        let (life, spends) = (report.incarnation, std::mem::take(&mut report.spends));
         let limits = std::mem::take(&mut report.limits);
         let leaving = std::mem::take(&mut report.leaving);
-        if self.runs.lock().hear(peer, report, now) {
+        if self.runs.lock().apply_report(peer, report, now) {
             self.hear_limits(peer, &limits);
             self.hear_leaving(peer, &leaving);
             self.hear_spends(peer, life, &spends, true);
@@ -136,14 +136,14 @@
     }
 
     /// Takes in what changed at a peer.
-    pub(crate) fn hear_changes(&self, peer: &str, mut changes: GatewayChanges) -> ChangesNews {
+    pub(crate) fn hear_changes(&self, peer: &str, mut changes: GatewayDelta) -> DeltaOutcome {
         let now = self.now();
         let report = &mut changes.report;
-        let (life, spends) = (report.life, std::mem::take(&mut report.spends));
+        let (life, spends) = (report.incarnation, std::mem::take(&mut report.spends));
         let limits = std::mem::take(&mut report.limits);
         let leaving = std::mem::take(&mut report.leaving);
-        let news = self.runs.lock().hear_changes(peer, changes, now);
-        if news != ChangesNews::Old {
+        let news = self.runs.lock().apply_delta(peer, changes, now);
+        if news != DeltaOutcome::Stale {
             self.hear_limits(peer, &limits);
             self.hear_leaving(peer, &leaving);
             self.hear_spends(peer, life, &spends, false);
@@ -154,14 +154,14 @@
     /// True while a peer has a generation in line that can still be on time.
     pub(crate) fn peers_have_waiting(&self) -> bool {
         let now = self.now();
-        self.runs.lock().peers_wait_on_time(now)
+        self.runs.lock().peers_have_on_time_waiting(now)
     }
 
     /// True when this gateway may ask one of `open` runners for memory now, with regard to peers
     /// that wait for it too.
     pub(crate) fn asks_now(&self, open: usize) -> bool {
         let now = self.now();
-        let others = self.runs.lock().peers_that_wait(now);
+        let others = self.runs.lock().peers_with_waiting(now);
         asks_now(self.draw(), others, open)
     }
 
@@ -186,13 +186,13 @@
         let starts = BTreeMap::new();
         let own = runs.own().cloned().collect();
         let mut report = GatewayReport {
-            life,
-            number,
+            incarnation: life,
+            sequence: number,
             waiting,
             waiting_late,
             runs: own,
-            reads,
-            changing,
+            prefill_tokens: reads,
+            switching_stage: changing,
             failing,
             silent,
             starts,
@@ -209,7 +209,8 @@
     /// Prompt tokens that wait at a prefill runner, over all gateways.
     pub(crate) fn tokens_at_prefill(&self, runner: &RunnerId) -> u64 {
         self.with_runners(|runners, now| {
-            runners.loads.prompt_tokens(runner) + self.runs.lock().reads_of_peers(runner, now)
+            runners.loads.prompt_tokens(runner)
+                + self.runs.lock().prefill_tokens_of_peers(runner, now)
         })
     }
 
@@ -226,7 +227,7 @@
         let runs = self.runs.lock();
         let there = runs.need_at(runner, &forecast, now);
         DecodeLoad {
-            reading: runs.tokens_read_by(runner, now),
+            reading: runs.self_prefill_tokens(runner, now),
             runs: there.runs.saturating_sub(1),
             fullness: forecast.fullness(forecast.peak(&there)),
         }
@@ -234,7 +235,7 @@
 
     /// The runner of a run reads its prompt itself.
     pub(crate) fn run_reads_itself(&self, run: RunNumber) {
-        self.runs.lock().reads_itself(run);
+        self.runs.lock().mark_prefills_itself(run);
         self.report_due.notify_one();
     }
 }
--- a/crates/bulrushusher_gateway/src/knowledge/mod.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/mod.rs
@@ -241,7 +241,7 @@
     ) -> Option<Runner> {
         let draw = self.draw();
         self.with_pool(service, |cx, runs| {
-            let elsewhere = |id: &RunnerId| runs.reads_of_peers(id, cx.now);
+            let elsewhere = |id: &RunnerId| runs.prefill_tokens_of_peers(id, cx.now);
             pick_for_prefill(cx, near, tried, draw, elsewhere)
         })
     }
@@ -336,7 +336,7 @@
     }
 
     fn with_budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
-        let gateways = self.runs.lock().peers(self.now()) + 1;
+        let gateways = self.runs.lock().peer_count(self.now()) + 1;
         let cfg = self.cfg.load().retries.part(gateways.max(LEAST_RETRY_SHARERS));
         let mut budgets = self.budgets.lock();
         let budget = budgets.entry(service.clone()).or_insert_with(|| RetryBudget::new(cfg));
--- a/crates/bulrushusher_gateway/src/knowledge/moves.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/moves.rs
@@ -1,6 +1,6 @@
 //! Which run should leave its decode runner, and for which other one.
 
-use bulrushusher_forward::{RunNote, RunNumber, Runner, pick_for_move};
+use bulrushusher_forward::{RunNumber, RunReport, Runner, pick_for_move};
 use bulrushusher_world::ServiceName;
 
 use super::Knowledge;
@@ -13,7 +13,7 @@
     /// It should leave, and no runner has room for it.
     NoRoom,
     /// It should go on at that runner.
-    Moves { to: Runner, note: RunNote },
+    Moves { to: Runner, note: RunReport },
 }
 
 impl Knowledge {
--- a/crates/bulrushusher_gateway/src/peers/report_codec.rs
+++ b/crates/bulrushusher_gateway/src/peers/report_codec.rs
@@ -4,7 +4,7 @@
 //! wrote is told apart by its first bytes and passed over; its gateway then counts as one that is not
 //! heard, and comes back with its next version.
 
-use bulrushusher_forward::{DeltaRequest, GatewayChanges, GatewayReport};
+use bulrushusher_forward::{DeltaRequest, GatewayDelta, GatewayReport};
 use bulrushusher_routing::CrashNews;
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
@@ -31,7 +31,7 @@
     /// All that it has at runners.
     Whole(GatewayReport),
     /// What changed since its report before.
-    Changes(GatewayChanges),
+    Changes(GatewayDelta),
     /// It missed a report, and asks for a whole one.
     Missed,
     /// Requests that crash runners.
--- a/crates/bulrushusher_gateway/src/peers/speaking.rs
+++ b/crates/bulrushusher_gateway/src/peers/speaking.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
 
-use bulrushusher_forward::{ChangesNews, GatewayChanges, GatewayReport};
+use bulrushusher_forward::{DeltaOutcome, GatewayDelta, GatewayReport};
 use bulrushusher_routing::CrashNews;
 use bulrushusher_time::Millis;
 use tokio::net::UdpSocket;
@@ -115,7 +115,7 @@
         match word {
             Word::Whole(report) => self.knowledge.hear_peer(name, report),
             Word::Changes(changes) => {
-                if self.knowledge.hear_changes(name, changes) == ChangesNews::Missed
+                if self.knowledge.hear_changes(name, changes) == DeltaOutcome::Gap
                     && self.may_ask(from)
                 {
                     self.write(socket, Word::Missed, &[from]).await;
@@ -213,7 +213,7 @@
         report.spends = self.knowledge.spends(is_due || last.report.is_none());
         let before = last.report.replace(report.clone());
         match before.filter(|_| !is_due) {
-            Some(before) => Word::Changes(GatewayChanges::between(&before, &report)),
+            Some(before) => Word::Changes(GatewayDelta::between(&before, &report)),
             None => {
                 last.whole_at = now;
                 last.answered.clear();
--- a/crates/bulrushusher_gateway/src/placement/holds.rs
+++ b/crates/bulrushusher_gateway/src/placement/holds.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use bulrushusher_forward::{RunNote, RunNumber, Runner};
+use bulrushusher_forward::{RunNumber, RunReport, Runner};
 use bulrushusher_time::Millis;
 use tokio::runtime::Handle;
 
@@ -30,7 +30,7 @@
 /// For which run memory is held, and for how long.
 #[derive(Clone, Debug)]
 pub(crate) struct HoldTerms {
-    pub note: RunNote,
+    pub note: RunReport,
     pub ttl: Millis,
 }
 
--- a/crates/bulrushusher_gateway/src/placement/place.rs
+++ b/crates/bulrushusher_gateway/src/placement/place.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use bulrushusher_forward::{CallResult, Rank, RunNote, RunShape, Runner, Stage, tokens_to_hold};
+use bulrushusher_forward::{CallResult, Rank, RunReport, RunShape, Runner, Stage, tokens_to_hold};
 use bulrushusher_time::Millis;
 use bulrushusher_world::ServiceName;
 use derive_more::Display;
@@ -216,7 +216,7 @@
     let (asked, word) = match answer {
         Ok((head, body)) => {
             cx.knowledge.with_runners(|runners, now| runners.loads.note_reached(&runner.id, now));
-            let terms = HoldTerms { note: RunNote::new(runner.id.clone(), shape), ttl };
+            let terms = HoldTerms { note: RunReport::new(runner.id.clone(), shape), ttl };
             read_answer(cx, runner.clone(), terms, head.status, &body)
         }
         Err(e) => {
--- a/crates/bulrushusher_gateway/src/runs/moving.rs
+++ b/crates/bulrushusher_gateway/src/runs/moving.rs
@@ -7,7 +7,7 @@
 use std::pin::Pin;
 use std::sync::Arc;
 
-use bulrushusher_forward::{AttemptEnd, RunNote, Runner};
+use bulrushusher_forward::{AttemptEnd, RunReport, Runner};
 use bulrushusher_time::Millis;
 use hyper::StatusCode;
 
@@ -34,7 +34,7 @@
     /// Its memory, kept where it was stopped.
     kv: KeptKv<D>,
     /// What it was there.
-    stopped: RunNote,
+    stopped: RunReport,
 }
 
 type Copying<D> = Pin<Box<dyn Future<Output = Option<Box<Moved<D>>>> + Send>>;
@@ -112,10 +112,10 @@
     fwd: &Forwarded,
     from: Runner,
     to: Runner,
-    note: RunNote,
+    note: RunReport,
 ) -> Option<Box<Moved<D>>> {
     let began = cx.now();
-    let made = note.made;
+    let made = note.generated;
     let held = place_of(cx, &to, &note);
     let kv = match cx.knowledge.take_permits(&to, 1) {
         Ok(()) => copy_and_stop(cx, fwd, &from, &to).await,
@@ -138,9 +138,13 @@
 }
 
 /// A run's place at a runner that it comes to with what it has made.
-fn place_of<D: Dialect>(cx: &Arc<Router<D>>, at: &Runner, note: &RunNote) -> HeldMemory<D> {
-    let note =
-        RunNote { runner: at.id.clone(), begun: false, made_before: note.made, ..note.clone() };
+fn place_of<D: Dialect>(cx: &Arc<Router<D>>, at: &Runner, note: &RunReport) -> HeldMemory<D> {
+    let note = RunReport {
+        runner: at.id.clone(),
+        is_generating: false,
+        generated_at_join: note.generated,
+        ..note.clone()
+    };
     let terms = HoldTerms { note, ttl: COPY_TIMEOUT };
     HeldMemory::new(at.clone(), None, terms, &cx.knowledge, &cx.exchanger, &cx.dialect)
 }
--- a/crates/bulrushusher_model/src/memory.rs
+++ b/crates/bulrushusher_model/src/memory.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeSet;
 
 use bulrushusher_forward::{
-    Candidate, ForecastConfig, MemoryForecast, RunNote, RunShape, Runner, asks_now, rank_for_decode,
+    Candidate, ForecastConfig, MemoryForecast, RunReport, RunShape, Runner, asks_now,
+    rank_for_decode,
 };
 use bulrushusher_time::Millis;
 use bulrushusher_world::RunnerId;
@@ -75,7 +76,7 @@
         if !self.fleet.heeds_failures {
             return BTreeSet::new();
         }
-        let at_peers = gateway.runs.failing_at_peers(now);
+        let at_peers = gateway.runs.failures_at_peers(now);
         let fails = |id: &&RunnerId| gateway.health.is_failing(id, at_peers.get(id), now);
         self.ids.iter().filter(fails).cloned().collect()
     }
@@ -106,8 +107,8 @@
         let Caller { arrival, gateway, .. } = self.callers[n];
         let held = self.tokens_held(&arrival);
         self.held[decode].push((n, held));
-        let note = RunNote::new(self.ids[decode].clone(), shape(&arrival));
-        let run = self.gateways[gateway].runs.hold(note);
+        let note = RunReport::new(self.ids[decode].clone(), shape(&arrival));
+        let run = self.gateways[gateway].runs.add(note);
         self.callers[n].state = State::Read { decode, run };
         let shortest = self.prefills.iter_mut().min_by(|a, b| a.waiting().total_cmp(&b.waiting()));
         if let Some(prefill) = shortest {
--- a/crates/bulrushusher_model/src/moving.rs
+++ b/crates/bulrushusher_model/src/moving.rs
@@ -1,6 +1,6 @@
 //! Runs that move to another decode engine before memory runs out.
 
-use bulrushusher_forward::{RunNote, pick_for_move};
+use bulrushusher_forward::{RunReport, pick_for_move};
 use bulrushusher_time::Millis;
 use rand::RngExt;
 
@@ -52,9 +52,12 @@
         if let State::Running { run: old, .. } = self.callers[caller].state
             && let Some(note) = runs.end(old)
         {
-            let made = note.made;
-            let new =
-                runs.hold(RunNote { runner: self.ids[to].clone(), made_before: made, ..note });
+            let made = note.generated;
+            let new = runs.add(RunReport {
+                runner: self.ids[to].clone(),
+                generated_at_join: made,
+                ..note
+            });
             runs.progress(new, made);
             self.callers[caller].state = State::Running { decode: to, run: new };
         }
--- a/crates/bulrushusher_model/src/play.rs
+++ b/crates/bulrushusher_model/src/play.rs
@@ -331,8 +331,8 @@
 
     fn wait(&mut self, n: usize, rank: Rank, until: Millis, now: Millis) {
         let gateway = self.callers[n].gateway;
-        let late_behind = rank.late && self.gateways[gateway].runs.peers_wait_on_time(now);
-        let others = self.gateways[gateway].runs.peers_that_wait(now);
+        let late_behind = rank.late && self.gateways[gateway].runs.peers_have_on_time_waiting(now);
+        let others = self.gateways[gateway].runs.peers_with_waiting(now);
         if self.gateways[gateway].line.may_ask(&rank)
             && !late_behind
             && let Some(decode) = self.find_memory(n, others, now)
@@ -370,15 +370,15 @@
         {
             for to in (0..self.gateways.len()).filter(|to| *to != sent.from) {
                 let name = format!("g{}", sent.from);
-                self.gateways[to].runs.hear(&name, sent.report.clone(), now);
+                self.gateways[to].runs.apply_report(&name, sent.report.clone(), now);
             }
         }
         for from in 0..self.gateways.len() {
             self.gateways[from].reports += 1;
             let teller = &self.gateways[from];
             let report = GatewayReport {
-                life: 1,
-                number: teller.reports,
+                incarnation: 1,
+                sequence: teller.reports,
                 waiting: teller.line.on_time() as u32,
                 waiting_late: (teller.line.len() - teller.line.on_time()) as u32,
                 runs: teller.runs.own().cloned().collect(),
