--- a/crates/bulrushusher_forward/src/forecast.rs
+++ b/crates/bulrushusher_forward/src/forecast.rs
@@ -30,7 +30,7 @@
             prompt: size.map_or(0.0, |size| size.prompt as f64),
             made: 0.0,
             expected: size.map_or(1.0, |size| size.expected() as f64),
-            most: size.map_or(1.0, |size| size.most_output as f64),
+            most: size.map_or(1.0, |size| size.max_output as f64),
         }
     }
 
--- a/crates/bulrushusher_forward/src/lib.rs
+++ b/crates/bulrushusher_forward/src/lib.rs
@@ -67,7 +67,7 @@
 pub use report::{GatewayDelta, GatewayReport, RunReport};
 pub use request::{PromptSize, RequestId};
 pub use returns::{ReturnConfig, UsualPatience};
-pub use revision::{era_of, number_of, revision_in_era};
+pub use revision::{era_of, number_in_era, revision_in_era};
 pub use route::{
     CallerLimits, EngineSpec, Route, RouteKind, RoutingConfig, RoutingError, ServiceSpec,
     WeightedService,
@@ -75,7 +75,7 @@
 pub use routing_delta::RoutingDelta;
 pub use runner::{Runner, Stage, StartTime};
 pub use runner_changes::{
-    ChangeLog, DeltaNews, DeltaPages, DeltaRequest, RunnerChange, RunnerDelta,
+    ChangeLog, DeltaPages, DeltaRequest, PageOutcome, RunnerChange, RunnerDelta,
 };
 pub use runner_directory::{DrainReport, RunnerDirectory, RunnerDirectoryConfig, RunnerListDiff};
 pub use runs::{DeltaOutcome, PeersConfig, RunNumber, Runs};
--- a/crates/bulrushusher_forward/src/memory.rs
+++ b/crates/bulrushusher_forward/src/memory.rs
@@ -23,15 +23,15 @@
 ///
 /// ```
 /// use bulrushusher_forward::{HoldConfig, PromptSize, tokens_to_hold};
-/// let size = PromptSize { prompt: 1_000, most_output: 900, expected_output: Some(300) };
+/// let size = PromptSize { prompt: 1_000, max_output: 900, expected_output: Some(300) };
 /// assert_eq!(tokens_to_hold(&size, 0, HoldConfig { per_expected_output: 2.0 }), 1_600);
 /// assert_eq!(tokens_to_hold(&size, 0, HoldConfig { per_expected_output: 4.0 }), 1_900);
 /// ```
 pub fn tokens_to_hold(size: &PromptSize, already_made: u64, cfg: HoldConfig) -> u64 {
     let expected = match size.expected_output {
         Some(tokens) => (tokens as f64 * cfg.per_expected_output) as u64,
-        None => size.most_output,
+        None => size.max_output,
     };
-    let output = expected.max(already_made).min(size.most_output);
+    let output = expected.max(already_made).min(size.max_output);
     size.prompt + output
 }
--- a/crates/bulrushusher_forward/src/relays.rs
+++ b/crates/bulrushusher_forward/src/relays.rs
@@ -39,13 +39,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RelaysConfig {
     /// Number of gateways below which all of them watch the store.
-    pub least_gateways: usize,
+    pub min_gateways: usize,
     /// Minimum number of relays.
-    pub least_relays: usize,
+    pub min_relays: usize,
     /// Minimum number of peers that must watch the store before others rely on them.
-    pub least_watching: usize,
+    pub min_watching: usize,
     /// Number of relays that forward each change to a listening gateway.
-    pub tellers: usize,
+    pub relays_per_listener: usize,
     /// Silence after which a peer is not counted, and how long a gateway keeps listening while too
     /// few peers watch.
     pub silent_after: Millis,
@@ -54,10 +54,10 @@
 impl Default for RelaysConfig {
     fn default() -> RelaysConfig {
         RelaysConfig {
-            least_gateways: 8,
-            least_relays: 3,
-            least_watching: 2,
-            tellers: 2,
+            min_gateways: 8,
+            min_relays: 3,
+            min_watching: 2,
+            relays_per_listener: 2,
             silent_after: Millis(1_500),
         }
     }
@@ -73,11 +73,11 @@
     /// assert_eq!([5, 30, 492, 984].map(|gateways| cfg.relays(gateways)), [5, 3, 12, 16]);
     /// ```
     pub fn relays(&self, gateways: usize) -> usize {
-        if gateways < self.least_gateways {
+        if gateways < self.min_gateways {
             return gateways;
         }
         let grown = ((gateways as f64).sqrt() / 2.0).ceil() as usize;
-        grown.max(self.least_relays)
+        grown.max(self.min_relays)
     }
 }
 
@@ -96,9 +96,9 @@
     /// How this gateway receives changes.
     pub role: StoreRole,
     /// True when this gateway may run the duties for which one gateway is enough.
-    pub keeps_duties: bool,
+    pub runs_shared_duties: bool,
     /// True while this gateway forwards changes.
-    pub tells: bool,
+    pub forwards: bool,
     /// Peers that watch the store, in the order of selection.
     pub watching: Vec<Arc<str>>,
 }
@@ -107,7 +107,7 @@
     /// The view of a gateway without known peers.
     fn default() -> RelayView {
         let role = StoreRole::Watch;
-        RelayView { role, keeps_duties: true, tells: false, watching: Vec::new() }
+        RelayView { role, runs_shared_duties: true, forwards: false, watching: Vec::new() }
     }
 }
 
@@ -118,7 +118,7 @@
 /// use bulrushusher_time::Millis;
 /// let mut relays = Relays::new(RelaysConfig::default(), "entry-0".into());
 /// let alone = relays.decide(StoreContact::Idle, &[], Millis(0));
-/// assert_eq!((alone.role, alone.keeps_duties), (StoreRole::Watch, true));
+/// assert_eq!((alone.role, alone.runs_shared_duties), (StoreRole::Watch, true));
 /// let contact = StoreContact::Watching;
 /// let watching = |n| RelayPeer { name: format!("entry-{n}").into(), contact };
 /// let peers: Vec<RelayPeer> = (1..40).map(watching).collect();
@@ -153,19 +153,19 @@
         now: Millis,
     ) -> RelayView {
         let watching = self.watching(peers);
-        if peers.len() + 1 < self.cfg.least_gateways {
+        if peers.len() + 1 < self.cfg.min_gateways {
             self.too_few_since = None;
             return RelayView { watching, ..RelayView::default() };
         }
         let is_relay = self.is_relay(own_contact, peers);
-        let has_too_few = !is_relay && watching.len() < self.cfg.least_watching;
+        let has_too_few = !is_relay && watching.len() < self.cfg.min_watching;
         let role = match is_relay || self.relays_are_missing(has_too_few, now) {
             true => StoreRole::Watch,
             false => StoreRole::Listen,
         };
-        let tells = own_contact == StoreContact::Watching && role == StoreRole::Watch;
+        let forwards = own_contact == StoreContact::Watching && role == StoreRole::Watch;
         let is_first = watching.iter().all(|name| rank(&self.own_name) <= rank(name));
-        RelayView { role, keeps_duties: tells && is_first, tells, watching }
+        RelayView { role, runs_shared_duties: forwards && is_first, forwards, watching }
     }
 
     /// True once too few peers have watched for [`RelaysConfig::silent_after`].
@@ -201,15 +201,20 @@
     /// ```
     /// use bulrushusher_forward::{Relays, RelaysConfig};
     /// let names = ["entry-1", "entry-2", "entry-3", "entry-4"];
-    /// let tells = |own: &str| {
+    /// let forwards = |own: &str| {
     ///     let others = names.iter().filter(|it| **it != own);
     ///     let others: Vec<_> = others.map(|it| (*it).into()).collect();
-    ///     Relays::new(RelaysConfig::default(), own.into()).tells(&others, "entry-9")
+    ///     Relays::new(RelaysConfig::default(), own.into()).forwards_to(&others, "entry-9")
     /// };
-    /// assert_eq!(names.iter().filter(|name| tells(name)).count(), 2);
+    /// assert_eq!(names.iter().filter(|name| forwards(name)).count(), 2);
     /// ```
-    pub fn tells(&self, watching: &[Arc<str>], listener: &str) -> bool {
-        is_among_first(self.cfg.tellers, listener, &self.own_name, watching.iter().map(|it| &**it))
+    pub fn forwards_to(&self, watching: &[Arc<str>], listener: &str) -> bool {
+        is_among_first(
+            self.cfg.relays_per_listener,
+            listener,
+            &self.own_name,
+            watching.iter().map(|it| &**it),
+        )
     }
 }
 
--- a/crates/bulrushusher_forward/src/repeat.rs
+++ b/crates/bulrushusher_forward/src/repeat.rs
@@ -61,11 +61,11 @@
 const MOST_SENDS: u32 = 3;
 
 impl AttemptPlan {
-    /// A request of that kind that may run on `most_runners` runners.
-    pub fn new(kind: RouteKind, most_runners: u32) -> AttemptPlan {
+    /// A request of that kind that may run on `max_runners` runners.
+    pub fn new(kind: RouteKind, max_runners: u32) -> AttemptPlan {
         AttemptPlan {
             kind,
-            runs_left: most_runners.max(1),
+            runs_left: max_runners.max(1),
             sends_left: MOST_SENDS,
             may_have_run: false,
         }
--- a/crates/bulrushusher_forward/src/request.rs
+++ b/crates/bulrushusher_forward/src/request.rs
@@ -27,7 +27,7 @@
     /// Prompt tokens.
     pub prompt: u64,
     /// Maximum output tokens.
-    pub most_output: u64,
+    pub max_output: u64,
     /// Output tokens estimated by the caller, if given.
     pub expected_output: Option<u64>,
 }
@@ -35,6 +35,6 @@
 impl PromptSize {
     /// Expected output tokens: the caller's estimate, or half of the maximum.
     pub fn expected(&self) -> u64 {
-        self.expected_output.unwrap_or(self.most_output / 2).clamp(1, self.most_output.max(1))
+        self.expected_output.unwrap_or(self.max_output / 2).clamp(1, self.max_output.max(1))
     }
 }
--- a/crates/bulrushusher_forward/src/revision.rs
+++ b/crates/bulrushusher_forward/src/revision.rs
@@ -11,11 +11,11 @@
 /// Combines an era and a revision within it into one number.
 ///
 /// ```
-/// use bulrushusher_forward::{era_of, number_of, revision_in_era};
+/// use bulrushusher_forward::{era_of, number_in_era, revision_in_era};
 /// let before = revision_in_era(1, 120);
 /// let after = revision_in_era(2, 100);
 /// assert!(after > before);
-/// assert_eq!((era_of(after), number_of(after)), (2, 100));
+/// assert_eq!((era_of(after), number_in_era(after)), (2, 100));
 /// assert_eq!(revision_in_era(0, 120), 120);
 /// ```
 pub fn revision_in_era(era: u64, number: u64) -> u64 {
@@ -28,6 +28,6 @@
 }
 
 /// The revision within its era, as the store counts it.
-pub fn number_of(revision: u64) -> u64 {
+pub fn number_in_era(revision: u64) -> u64 {
     revision & ((1 << NUMBER_BITS) - 1)
 }
--- a/crates/bulrushusher_forward/src/route.rs
+++ b/crates/bulrushusher_forward/src/route.rs
@@ -66,7 +66,7 @@
     /// Target for the longest pause between two events; zero if not set.
     pub gap_target: Millis,
     /// Maximum number of runners on which one request may run.
-    pub most_runners: u32,
+    pub max_runners: u32,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
     /// True where requests need no API key of a client account.
@@ -98,13 +98,13 @@
     /// Maximum number of tokens in one event; at least 1.
     pub tokens_per_event: u64,
     /// How long a runner keeps a KV cache that is not fetched.
-    pub kv_kept: Millis,
+    pub kv_retention: Millis,
     /// Maximum lease on decode memory.
-    pub longest_hold: Millis,
+    pub max_hold: Millis,
     /// How long a runner is unavailable while it switches its stage.
     pub switch_time: Millis,
     /// True where a run can move to another decode runner together with its memory.
-    pub moves_runs: bool,
+    pub can_move_runs: bool,
 }
 
 /// A service.
@@ -165,7 +165,7 @@
 ///     timeout: Millis(1_500),
 ///     target: Millis(300),
 ///     gap_target: Millis(0),
-///     most_runners: 2,
+///     max_runners: 2,
 ///     priority: 2,
 ///     is_open: false,
 /// };
--- a/crates/bulrushusher_forward/src/runner_changes.rs
+++ b/crates/bulrushusher_forward/src/runner_changes.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerDelta {
     /// The request that it answers; the delta begins at its `after`.
-    pub of: DeltaRequest,
+    pub request: DeltaRequest,
     /// The revision at which the delta ends.
     pub revision: u64,
     /// Revision of the last change up to `revision`.
@@ -129,7 +129,7 @@
         let last: BTreeMap<&RunnerId, &RunnerChange> =
             later.map(|(_, change)| (change.runner(), change)).collect();
         let delta = RunnerDelta {
-            of: req.clone(),
+            request: req.clone(),
             revision: self.revision,
             last_change: self.last_change,
             ..RunnerDelta::default()
@@ -141,7 +141,7 @@
 impl RunnerDelta {
     /// Fills in the requested page from all changes, which are sorted by runner.
     fn with_page(self, all: impl Iterator<Item = RunnerChange>, most: usize) -> RunnerDelta {
-        let page_after = self.of.page_after.as_ref();
+        let page_after = self.request.page_after.as_ref();
         let mut changes: Vec<RunnerChange> = all
             .filter(|change| page_after.is_none_or(|id| change.runner() > id))
             .take(most + 1)
@@ -155,7 +155,7 @@
 
 /// What a receiver does with a page.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DeltaNews {
+pub enum PageOutcome {
     /// The delta is complete and continues from the receiver's revision: apply it.
     Apply(RunnerDelta),
     /// An earlier change or a further page is missing: send this request.
@@ -174,37 +174,38 @@
 
 impl DeltaPages {
     /// Adds a page; the receiver has all changes up to the revision `seen`.
-    pub fn take(&mut self, page: RunnerDelta, seen: u64) -> DeltaNews {
+    pub fn add(&mut self, page: RunnerDelta, seen: u64) -> PageOutcome {
         if era_of(page.revision) > era_of(seen) {
             self.partial = None;
-            return DeltaNews::OtherEra;
+            return PageOutcome::OtherEra;
         }
         if page.revision <= seen || era_of(page.revision) != era_of(seen) {
-            return DeltaNews::Known;
+            return PageOutcome::Known;
         }
-        if page.of.after > seen {
-            return DeltaNews::Missing(DeltaRequest { after: seen, page_after: None });
+        if page.request.after > seen {
+            return PageOutcome::Missing(DeltaRequest { after: seen, page_after: None });
         }
         let combined = self.append(page).filter(|combined| combined.revision > seen);
-        let Some(combined) = combined else { return DeltaNews::Known };
+        let Some(combined) = combined else { return PageOutcome::Known };
         match combined.next_page.clone() {
             Some(next) => {
-                let req = DeltaRequest { after: combined.of.after, page_after: Some(next) };
+                let req = DeltaRequest { after: combined.request.after, page_after: Some(next) };
                 self.partial = Some(combined);
-                DeltaNews::Missing(req)
+                PageOutcome::Missing(req)
             }
-            None => DeltaNews::Apply(combined),
+            None => PageOutcome::Apply(combined),
         }
     }
 
     /// Appends a page to the previous ones; `None` if they are missing. Changes made between two
     /// pages arrive with the next delta, as the revision stays that of the first page.
     fn append(&mut self, page: RunnerDelta) -> Option<RunnerDelta> {
-        if page.of.page_after.is_none() {
+        if page.request.page_after.is_none() {
             return Some(page);
         }
         let follows = |partial: &RunnerDelta| {
-            partial.next_page == page.of.page_after && partial.of.after == page.of.after
+            partial.next_page == page.request.page_after
+                && partial.request.after == page.request.after
         };
         let mut first = self.partial.take().filter(follows)?;
         first.changes.extend(page.changes);
--- a/crates/bulrushusher_forward/src/shutdown.rs
+++ b/crates/bulrushusher_forward/src/shutdown.rs
@@ -56,7 +56,7 @@
 
     /// When unanswered requests are given up: an answer that says so reaches the caller, while a
     /// connection that is cut does not tell it anything.
-    pub fn last_answers(&self) -> Millis {
+    pub fn final_answer_deadline(&self) -> Millis {
         self.kill().since(FINAL_ANSWER_MARGIN)
     }
 
--- a/crates/bulrushusher_forward/tests/relays.rs
+++ b/crates/bulrushusher_forward/tests/relays.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use bulrushusher_forward::{
-    ChangeLog, DeltaNews, DeltaPages, DeltaRequest, RelayPeer, RelayView, Relays, RelaysConfig,
+    ChangeLog, DeltaPages, DeltaRequest, PageOutcome, RelayPeer, RelayView, Relays, RelaysConfig,
     Runner, RunnerChange, RunnerDelta, StoreContact, StoreRole,
 };
 use bulrushusher_time::Millis;
@@ -93,7 +93,7 @@
 
     fn apply(&mut self, delta: RunnerDelta) {
         delta.changes.iter().for_each(|change| put(&mut self.table, change));
-        self.log.record(delta.of.after, delta.revision, delta.last_change, delta.changes);
+        self.log.record(delta.request.after, delta.revision, delta.last_change, delta.changes);
         self.seen = delta.revision;
     }
 }
@@ -178,7 +178,7 @@
         new.iter().for_each(|change| put(&mut gateway.table, change));
         gateway.log.record(after, revision, revision, new);
         gateway.seen = revision;
-        if revision == after || !gateway.view.tells {
+        if revision == after || !gateway.view.forwards {
             return;
         }
         let delta = gateway.log.since(&DeltaRequest { after, page_after: None }, PAGE_SIZE);
@@ -187,7 +187,8 @@
         let listens = |it: &&Gateway| {
             it.is_alive && !view.watching.contains(&it.name) && it.name != self.gateways[n].name
         };
-        let is_served = |it: &Gateway| self.gateways[n].relays.tells(&view.watching, &it.name);
+        let is_served =
+            |it: &Gateway| self.gateways[n].relays.forwards_to(&view.watching, &it.name);
         let to: Vec<usize> = (0..self.gateways.len())
             .filter(|to| Some(&self.gateways[*to]).filter(listens).is_some_and(is_served))
             .collect();
@@ -203,9 +204,9 @@
         let mut page = page;
         while self.gateways[to].view.role == StoreRole::Listen {
             let gateway = &mut self.gateways[to];
-            match gateway.pages.take(page, gateway.seen) {
-                DeltaNews::Apply(delta) => return gateway.apply(delta),
-                DeltaNews::Missing(req) => {
+            match gateway.pages.add(page, gateway.seen) {
+                PageOutcome::Apply(delta) => return gateway.apply(delta),
+                PageOutcome::Missing(req) => {
                     if !self.arrives() || !self.arrives() {
                         return;
                     }
@@ -214,7 +215,7 @@
                     };
                     page = next;
                 }
-                DeltaNews::Known | DeltaNews::OtherEra => return,
+                PageOutcome::Known | PageOutcome::OtherEra => return,
             }
         }
     }
@@ -262,7 +263,7 @@
     }
 
     fn relays(&self) -> Vec<usize> {
-        (0..self.gateways.len()).filter(|n| self.gateways[*n].view.tells).collect()
+        (0..self.gateways.len()).filter(|n| self.gateways[*n].view.forwards).collect()
     }
 
     /// Runners register, change or are removed, one every two steps.
--- a/crates/bulrushusher_forward/tests/routing_delta.rs
+++ b/crates/bulrushusher_forward/tests/routing_delta.rs
@@ -19,7 +19,7 @@
         timeout: Millis(timeout),
         target: Millis(300),
         gap_target: Millis(0),
-        most_runners: 2,
+        max_runners: 2,
         priority: 2,
         is_open: false,
     }
--- a/crates/bulrushusher_gateway/src/callers/admission.rs
+++ b/crates/bulrushusher_gateway/src/callers/admission.rs
@@ -37,7 +37,7 @@
                 return Err(self.denied(denial));
             }
         };
-        let cost = account.cost(arrival.size.as_ref().map(|size| size.prompt + size.most_output));
+        let cost = account.cost(arrival.size.as_ref().map(|size| size.prompt + size.max_output));
         if let Err(over) = self.knowledge.charge(&account.name, cost) {
             log_over_quota(arrival, &account, cost, &over);
             return Err(Refusal::OverQuota { come_back: over.come_back });
--- a/crates/bulrushusher_gateway/src/knowledge/memory.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/memory.rs
@@ -80,7 +80,7 @@
         let memory = engine.map_or(f64::INFINITY, |engine| engine.memory_tokens as f64);
         let settings = self.cfg.load();
         let mut cfg = settings.forecast;
-        if engine.is_some_and(|engine| engine.moves_runs) {
+        if engine.is_some_and(|engine| engine.can_move_runs) {
             cfg.caution = settings.caution_with_moves;
         }
         self.with_pace(service, |pace| MemoryForecast {
--- a/crates/bulrushusher_gateway/src/knowledge/moves.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/moves.rs
@@ -20,7 +20,7 @@
     /// Whether the run should move now: its runner is about to run out of memory, and it is the one
     /// that would be preempted.
     pub(crate) fn run_fate(&self, service: &ServiceName, run: RunNumber) -> RunFate {
-        if !self.engine(service).is_some_and(|engine| engine.moves_runs) {
+        if !self.engine(service).is_some_and(|engine| engine.can_move_runs) {
             return RunFate::Stays;
         }
         let forecast = self.forecast(service);
--- a/crates/bulrushusher_gateway/src/knowledge/passing_on.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/passing_on.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bulrushusher_forward::{
-    ChangeLog, DeltaNews, DeltaPages, DeltaRequest, RoutingConfig, RoutingDelta, RunnerChange,
+    ChangeLog, DeltaPages, DeltaRequest, PageOutcome, RoutingConfig, RoutingDelta, RunnerChange,
     RunnerDelta, SeenRevisions, StoreRole, era_of,
 };
 use serde::{Deserialize, Serialize};
@@ -132,12 +132,12 @@
     }
 
     /// What a delta is to this gateway; it is for whoever listens only.
-    pub(crate) fn sort_delta(&self, page: RunnerDelta) -> DeltaNews {
+    pub(crate) fn sort_delta(&self, page: RunnerDelta) -> PageOutcome {
         if self.relay_view.borrow().role != StoreRole::Listen || !self.is_listed() {
-            return DeltaNews::Known;
+            return PageOutcome::Known;
         }
         let seen = self.news_seen(Topic::Runners);
-        self.passed.lock().pages.take(page, seen)
+        self.passed.lock().pages.add(page, seen)
     }
 
     /// The last change of the runners' list that is known to somebody and not here.
--- a/crates/bulrushusher_gateway/src/knowledge/relays.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/relays.rs
@@ -112,19 +112,20 @@
 
     /// True when this gateway may carry out duties that one is enough for.
     pub(crate) fn keeps_duties(&self) -> bool {
-        self.relay_view.borrow().keeps_duties
+        self.relay_view.borrow().runs_shared_duties
     }
 
     /// True while this gateway passes changes on.
     pub(crate) fn tells(&self) -> bool {
-        self.relay_view.borrow().tells
+        self.relay_view.borrow().forwards
     }
 
     /// Those of the `known` gateways to which this one passes changes on.
     pub(crate) fn listeners(&self, known: &[(Arc<str>, SocketAddr)]) -> Vec<SocketAddr> {
         let watching = self.relay_view.borrow().watching.clone();
         let relays = &self.relays.lock().relays;
-        let listens = |name: &Arc<str>| !watching.contains(name) && relays.tells(&watching, name);
+        let listens =
+            |name: &Arc<str>| !watching.contains(name) && relays.forwards_to(&watching, name);
         known.iter().filter(|(name, _)| listens(name)).map(|(_, address)| *address).collect()
     }
 }
--- a/crates/bulrushusher_gateway/src/lifecycle.rs
+++ b/crates/bulrushusher_gateway/src/lifecycle.rs
@@ -34,7 +34,7 @@
         let stopping = rx.wait_for(Option::is_some).await.ok().and_then(|shutdown| *shutdown);
         // The sender lives as long as this.
         let Some(shutdown) = stopping else { return };
-        let left = shutdown.last_answers().since(clock.now());
+        let left = shutdown.final_answer_deadline().since(clock.now());
         tokio::time::sleep(left.duration()).await;
     }
 
--- a/crates/bulrushusher_gateway/src/peers/relaying.rs
+++ b/crates/bulrushusher_gateway/src/peers/relaying.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 
-use bulrushusher_forward::{DeltaNews, DeltaRequest, RunnerDelta, SeenRevisions};
+use bulrushusher_forward::{DeltaRequest, PageOutcome, RunnerDelta, SeenRevisions};
 use bulrushusher_time::Millis;
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
@@ -109,10 +109,12 @@
     pub(crate) async fn hear_store(&self, socket: &UdpSocket, told: StoreNews, from: SocketAddr) {
         if let Some(page) = told.runners {
             match self.knowledge.sort_delta(page) {
-                DeltaNews::Apply(delta) => self.intake.take_delta(delta),
-                DeltaNews::Missing(req) => self.write(socket, Word::AskRunners(req), &[from]).await,
-                DeltaNews::Known => {}
-                DeltaNews::OtherEra => self.knowledge.store_due.notify_one(),
+                PageOutcome::Apply(delta) => self.intake.take_delta(delta),
+                PageOutcome::Missing(req) => {
+                    self.write(socket, Word::AskRunners(req), &[from]).await;
+                }
+                PageOutcome::Known => {}
+                PageOutcome::OtherEra => self.knowledge.store_due.notify_one(),
             }
         }
         if let Some(change) = told.routing {
--- a/crates/bulrushusher_gateway/src/placement/place.rs
+++ b/crates/bulrushusher_gateway/src/placement/place.rs
@@ -272,6 +272,6 @@
 }
 
 fn hold_time<D: Dialect>(cx: &Router<D>, fwd: &Forwarded) -> Millis {
-    let longest = cx.knowledge.engine(&fwd.service).map(|engine| engine.longest_hold);
+    let longest = cx.knowledge.engine(&fwd.service).map(|engine| engine.max_hold);
     longest.filter(|longest| *longest > Millis(0)).unwrap_or(DEFAULT_HOLD)
 }
--- a/crates/bulrushusher_gateway/src/runs/call.rs
+++ b/crates/bulrushusher_gateway/src/runs/call.rs
@@ -44,7 +44,7 @@
     cx: &Router<D>,
     fwd: &Forwarded,
 ) -> Result<Response<ReplyBody>, Refusal> {
-    let mut plan = AttemptPlan::new(fwd.route.kind, fwd.route.most_runners);
+    let mut plan = AttemptPlan::new(fwd.route.kind, fwd.route.max_runners);
     let mut tried: Vec<RunnerId> = Vec::new();
     let near = cx.knowledge.cfg().data_centre.clone();
     let come_back = Millis(COME_BACK_SOON.0.min(fwd.left(cx.now()).0 / 4));
--- a/crates/bulrushusher_gateway/src/runs/generation.rs
+++ b/crates/bulrushusher_gateway/src/runs/generation.rs
@@ -21,7 +21,7 @@
     cx: &Arc<Router<D>>,
     fwd: &Forwarded,
 ) -> Result<Response<ReplyBody>, Refusal> {
-    let mut plan = AttemptPlan::new(fwd.route.kind, fwd.route.most_runners);
+    let mut plan = AttemptPlan::new(fwd.route.kind, fwd.route.max_runners);
     let late = fwd.is_late();
     let wait = cx.knowledge.with_line(&fwd.service, |l| l.longest_wait(late, fwd.route.target));
     let until = fwd.received.plus(wait).min(fwd.ends);
--- a/crates/bulrushusher_gateway/src/store/feed.rs
+++ b/crates/bulrushusher_gateway/src/store/feed.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use bulrushusher_forward::{StoreContact, StoreRole, era_of, number_of};
+use bulrushusher_forward::{StoreContact, StoreRole, era_of, number_in_era};
 use bulrushusher_report::GatewayMetrics;
 use bulrushusher_time::Millis;
 use futures_util::StreamExt;
@@ -269,7 +269,7 @@
             "store: restored topic={} era={} revision={}",
             self.topic,
             era_of(revision),
-            number_of(revision)
+            number_in_era(revision)
         );
         self.knowledge.note_restore(self.topic);
     }
--- a/crates/bulrushusher_gateway/src/store/intake.rs
+++ b/crates/bulrushusher_gateway/src/store/intake.rs
@@ -101,11 +101,11 @@
 
     /// Takes in what a relay told.
     pub(crate) fn take_delta(&self, delta: RunnerDelta) {
-        let RunnerDelta { of, revision, last_change, changes, outage_age, .. } = delta;
+        let RunnerDelta { request, revision, last_change, changes, outage_age, .. } = delta;
         log::info!(
             "runners: told by a relay changes={} after={} revision={revision}",
             changes.len(),
-            of.after
+            request.after
         );
         self.knowledge.with_runners(|known, now| {
             if let Some(age) = outage_age {
@@ -113,7 +113,7 @@
             }
         });
         changes.iter().for_each(|change| self.apply(change));
-        self.knowledge.log_changes(of.after, revision, last_change, changes);
+        self.knowledge.log_changes(request.after, revision, last_change, changes);
         self.knowledge.note_news(Topic::Runners, revision, last_change);
     }
 
