--- a/crates/bulrushusher_forward/src/gateway_directory.rs
+++ b/crates/bulrushusher_forward/src/gateway_directory.rs
@@ -211,10 +211,10 @@
     }
 
     /// Expired announcements for this gateway to remove, each on condition that its revision is
-    /// unchanged. Empty while no other gateway is heard, as this gateway may be the partitioned
-    /// one. Among gateways that hear each other, rendezvous hashing assigns each announcement to
-    /// one of them. Across a partition each announcement is removed and rewritten once per
-    /// [`GatewayDirectoryConfig::gone_after`].
+    /// unchanged. Empty while there is no recent message from any other gateway, as this one may
+    /// then be the partitioned one. Among gateways that receive each other's messages, rendezvous
+    /// hashing assigns each announcement to one of them. Across a partition each announcement is
+    /// removed and rewritten once per [`GatewayDirectoryConfig::gone_after`].
     pub fn expired_announcements(&self, now: Millis) -> Vec<GatewayAnnouncement> {
         let has_recent_message = |gateway: &Gateway| {
             gateway.last_message.is_some_and(|at| now.since(at) < self.cfg.active_for)
@@ -239,7 +239,7 @@
         assigned
     }
 
-    /// True when this gateway comes first in rendezvous order among those it hears.
+    /// True when this gateway comes first in rendezvous order among those with recent messages.
     fn is_responsible_for(
         &self,
         name: &str,
--- a/crates/bulrushusher_forward/src/peer_state.rs
+++ b/crates/bulrushusher_forward/src/peer_state.rs
@@ -14,7 +14,7 @@
         self.live_peers(now).count()
     }
 
-    /// Store contact of the peers heard within the duration `within`.
+    /// Store contact of the peers whose last message is less than `within` old.
     pub fn relay_peers(&self, within: Millis, now: Millis) -> Vec<RelayPeer> {
         let is_recent = |peer: &Peer| {
             self.last_message.get(&peer.number).is_some_and(|at| now.since(*at) < within)
--- a/crates/bulrushusher_forward/src/relays.rs
+++ b/crates/bulrushusher_forward/src/relays.rs
@@ -123,7 +123,7 @@
 /// let watching = |n| RelayPeer { name: format!("entry-{n}").into(), contact };
 /// let peers: Vec<RelayPeer> = (1..40).map(watching).collect();
 /// let lost = relays.decide(StoreContact::Lost, &peers, Millis(100));
-/// assert_eq!(lost.role, StoreRole::Listen, "others can tell what the store does not");
+/// assert_eq!(lost.role, StoreRole::Listen, "other gateways can forward what this one cannot read");
 /// ```
 #[derive(Clone, Debug)]
 pub struct Relays {
@@ -144,8 +144,8 @@
         self.cfg = cfg;
     }
 
-    /// Decides who watches the store, from this gateway's own contact with it and the peers heard
-    /// within [`RelaysConfig::silent_after`].
+    /// Decides who watches the store, from this gateway's own contact with it and from peers with a
+    /// message within [`RelaysConfig::silent_after`].
     pub fn decide(
         &mut self,
         own_contact: StoreContact,
