--- a/crates/bulrushusher_forward/src/relays.rs
+++ b/crates/bulrushusher_forward/src/relays.rs
@@ -123,7 +123,7 @@
 /// let watching = |n| RelayPeer { name: format!("entry-{n}").into(), contact };
 /// let peers: Vec<RelayPeer> = (1..40).map(watching).collect();
 /// let lost = relays.decide(StoreContact::Lost, &peers, Millis(100));
-/// assert_eq!(lost.role, StoreRole::Listen, "other gateways can forward what this one cannot read");
+/// assert_eq!(lost.role, StoreRole::Listen, "others can forward the changes");
 /// ```
 #[derive(Clone, Debug)]
 pub struct Relays {
--- a/crates/bulrushusher_forward/src/start_times.rs
+++ b/crates/bulrushusher_forward/src/start_times.rs
@@ -35,7 +35,8 @@
 /// assert_eq!(starts.record(&id, Some(StartTime(3_000))), StartStatus::Newer);
 /// assert_eq!(starts.record(&id, Some(StartTime(2_000))), StartStatus::Stale);
 /// assert_eq!(starts.record(&id, None), StartStatus::Missing);
-/// assert!(starts.is_superseded(&id, Some(StartTime(2_000))) && !starts.is_superseded(&id, Some(StartTime(3_000))));
+/// assert!(starts.is_superseded(&id, Some(StartTime(2_000))));
+/// assert!(!starts.is_superseded(&id, Some(StartTime(3_000))));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct StartTimes {
--- a/crates/bulrushusher_forward/tests/changes.rs
+++ b/crates/bulrushusher_forward/tests/changes.rs
@@ -34,7 +34,8 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         3 => (0..RUNNERS, 1_000..9_000_u64).prop_map(|(at, prompt)| Step::Hold(at, prompt)),
-        2 => (any::<usize>(), 0..MAX_GENERATED).prop_map(|(run, generated)| Step::Progress(run, generated)),
+        2 => (any::<usize>(), 0..MAX_GENERATED)
+            .prop_map(|(run, generated)| Step::Progress(run, generated)),
         1 => any::<usize>().prop_map(Step::Stall),
         2 => any::<usize>().prop_map(Step::End),
         4 => (0..3_u8).prop_map(Step::Send),
--- a/crates/bulrushusher_forward/tests/routing_delta.rs
+++ b/crates/bulrushusher_forward/tests/routing_delta.rs
@@ -58,11 +58,13 @@
     ) {
         let (old, new) = (configuration(1, &before, 1), configuration(2, &after, connections));
         let delta = RoutingDelta::between(&old, &new).expect("no client accounts");
-        let applied = delta.clone().apply(&old).expect("valid configuration").expect("same base version");
+        let applied = delta.clone().apply(&old).expect("valid configuration");
+        let applied = applied.expect("same base version");
         prop_assert_eq!(routes_of(&applied), routes_of(&new));
         prop_assert_eq!(applied.service(&service_name()), new.service(&service_name()));
         prop_assert_eq!(applied.version, 2);
         let other = configuration(3, &before, 1);
-        prop_assert!(delta.apply(&other).expect("valid configuration").is_none(), "other base version");
+        let applied = delta.apply(&other).expect("valid configuration");
+        prop_assert!(applied.is_none(), "other base version");
     }
 }
--- a/crates/bulrushusher_forward/tests/starts.rs
+++ b/crates/bulrushusher_forward/tests/starts.rs
@@ -86,7 +86,9 @@
         runners.store_answered(now);
         for statement in &statements {
             match *statement {
-                Statement::Entry { n, born, leaving } => drop(runners.put(runner(n, born, leaving))),
+                Statement::Entry { n, born, leaving } => {
+                    runners.put(runner(n, born, leaving));
+                }
                 Statement::OwnReport { n, born } => {
                     runners.record_start(&runner(n, None, false).id, Some(StartTime(born)));
                 }
