--- a/crates/bulrushusher_forward/benches/place.rs
+++ b/crates/bulrushusher_forward/benches/place.rs
@@ -3,9 +3,9 @@
 //! Run with `cargo bench -p bulrushusher_forward`.
 
 use bulrushusher_forward::{
-    ForecastConfig, GatewayReport, LengthModel, LoadConfig, Members, MembersConfig, MemoryForecast,
-    PeersConfig, RunNote, RunShape, Runner, RunnerLoads, Runs, SelectionContext, Stage,
-    rank_for_decode,
+    ForecastConfig, GatewayReport, LengthModel, LoadConfig, MemoryForecast, PeersConfig, RunReport,
+    RunShape, Runner, RunnerDirectory, RunnerDirectoryConfig, RunnerLoads, Runs, SelectionContext,
+    Stage, rank_for_decode,
 };
 use bulrushusher_time::Millis;
 use bulrushusher_world::{RunnerId, ServiceName};
@@ -19,7 +19,7 @@
 
 struct Pool {
     service: ServiceName,
-    members: Members,
+    members: RunnerDirectory,
     loads: RunnerLoads,
     runs: Runs,
     forecast: MemoryForecast,
@@ -32,7 +32,7 @@
 /// A pool as one gateway sees it; its runs are spread over the other gateways.
 fn pool(runners: usize, gateways: usize) -> Pool {
     let service: ServiceName = "llm".try_into().expect("valid name");
-    let mut members = Members::new(MembersConfig::default());
+    let mut members = RunnerDirectory::new(RunnerDirectoryConfig::default());
     for n in 0..runners {
         members.put(Runner {
             id: runner_id(n),
@@ -45,15 +45,15 @@
             leaving: false,
         });
     }
-    let mut reports = vec![GatewayReport { number: 1, ..GatewayReport::default() }; gateways];
+    let mut reports = vec![GatewayReport { sequence: 1, ..GatewayReport::default() }; gateways];
     for run in 0..runners * RUNS_PER_RUNNER {
         let generated = (run * 977 % 4_000) as f64;
-        let note = RunNote::new(runner_id(run % runners), RunShape { generated, ..RUN });
-        reports[run % gateways].runs.push(RunNote { begun: true, ..note });
+        let note = RunReport::new(runner_id(run % runners), RunShape { generated, ..RUN });
+        reports[run % gateways].runs.push(RunReport { is_generating: true, ..note });
     }
     let mut runs = Runs::new(PeersConfig::default());
     for (n, report) in reports.into_iter().enumerate() {
-        runs.hear(&format!("gateway-{n}"), report, Millis(0));
+        runs.apply_report(&format!("gateway-{n}"), report, Millis(0));
     }
     let forecast = MemoryForecast {
         lengths: LengthModel::default(),
--- a/crates/bulrushusher_forward/src/back_pressure.rs
+++ b/crates/bulrushusher_forward/src/back_pressure.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::limit_share::{LimitBucket, Share, Sharers};
-use crate::{Born, RateLimit, Runner, RunnerSignals};
+use crate::{RateLimit, Runner, RunnerSignals, StartTime};
 
 /// Lifetimes of signals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -97,7 +97,7 @@
     /// The runner.
     pub runner: RunnerId,
     /// The process start that signalled the limit.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
     /// The limit; `None` if it has ended.
     pub limit: Option<RateLimit>,
     /// Time since the runner signalled it.
@@ -114,7 +114,7 @@
 /// Back-pressure of one process start of a runner.
 #[derive(Clone, Copy, Debug, Default)]
 struct RunnerEntry {
-    born: Option<Born>,
+    born: Option<StartTime>,
     last_signals: RunnerSignals,
     backoff: Option<Backoff>,
     limit: Option<LimitBucket>,
@@ -380,7 +380,11 @@
 
     /// The entry for this process start of a runner, replacing that of an earlier start; `None` if
     /// a later start is known.
-    fn entry_for_start(&mut self, id: &RunnerId, born: Option<Born>) -> Option<&mut RunnerEntry> {
+    fn entry_for_start(
+        &mut self,
+        id: &RunnerId,
+        born: Option<StartTime>,
+    ) -> Option<&mut RunnerEntry> {
         let entry = self
             .runners
             .entry(id.clone())
--- a/crates/bulrushusher_forward/src/choose.rs
+++ b/crates/bulrushusher_forward/src/choose.rs
@@ -5,13 +5,13 @@
 use bulrushusher_time::Millis;
 use bulrushusher_world::{DataCentreName, RunnerId, ServiceName};
 
-use crate::{BackPressureView, Members, Runner, RunnerLoads, Runs, Stage};
+use crate::{BackPressureView, Runner, RunnerDirectory, RunnerLoads, Runs, Stage};
 
 /// Inputs to the selection of a runner.
 #[derive(Clone, Copy, Debug)]
 pub struct SelectionContext<'a> {
     /// All known runners.
-    pub members: &'a Members,
+    pub members: &'a RunnerDirectory,
     /// Load and call results per runner, as this gateway sees them.
     pub loads: &'a RunnerLoads,
     /// The service that must handle the request.
@@ -141,9 +141,10 @@
     stage: Stage,
     tried: &[RunnerId],
 ) -> Vec<&'a Runner> {
-    let is_changing = |r: &Runner| cx.runs.is_some_and(|runs| runs.is_changing(&r.id, cx.now));
+    let is_switching =
+        |r: &Runner| cx.runs.is_some_and(|runs| runs.is_switching_stage(&r.id, cx.now));
     let of_stage = cx.open().filter(|r| r.stage == Some(stage));
-    let of_stage = of_stage.filter(|r| !is_changing(r));
+    let of_stage = of_stage.filter(|r| !is_switching(r));
     without_unreachable_or_failing(cx, of_stage.filter(|r| !tried.contains(&r.id)).collect())
 }
 
--- /dev/null
+++ b/crates/bulrushusher_forward/src/gateway_directory.rs
@@ -0,0 +1,251 @@
+//! Directory of the other gateways: addresses, liveness and stale announcements.
+//!
+//! Each gateway writes an announcement to the store; a gateway that sends a message is added as
+//! well. Announcements have no expiry in the store, so live gateways remove those of dead ones.
+
+use std::collections::{HashMap, HashSet};
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use bulrushusher_time::Millis;
+
+use crate::rendezvous::is_among_first;
+
+/// Limits of the directory of other gateways.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct GatewayDirectoryConfig {
+    /// Time after its last message or discovery during which a gateway is sent each change.
+    pub active_for: Millis,
+    /// Silence after which an announcement is removed.
+    pub gone_after: Millis,
+    /// Maximum number of known gateways; beyond it the one silent for longest is evicted.
+    pub max_gateways: usize,
+    /// Maximum number of announcements that one gateway removes per check.
+    pub max_removals: usize,
+}
+
+impl Default for GatewayDirectoryConfig {
+    /// A gateway sends a message at least every 0.7 s. One that was silent for ten seconds is dead
+    /// or partitioned and gets full reports only. After a minute its share of quotas and rate
+    /// limits is free for the others; a VM that returns later, or a data centre partitioned for
+    /// longer, announces itself again. The capacity is ten times the design size of a fleet, at
+    /// some hundred bytes per gateway. Few removals per check keep the store's write rate low after
+    /// many gateways fail at once.
+    fn default() -> GatewayDirectoryConfig {
+        GatewayDirectoryConfig {
+            active_for: Millis(10_000),
+            gone_after: Millis(60_000),
+            max_gateways: 4_096,
+            max_removals: 8,
+        }
+    }
+}
+
+/// A gateway's announcement in the store.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct GatewayAnnouncement {
+    /// Name of its VM.
+    pub name: Arc<str>,
+    /// Address at which it receives messages of other gateways.
+    pub address: SocketAddr,
+    /// Store revision of the announcement.
+    pub revision: u64,
+}
+
+#[derive(Clone, Debug)]
+struct Gateway {
+    address: SocketAddr,
+    /// When it was discovered, changed its address or renewed its announcement.
+    changed_at: Millis,
+    last_message: Option<Millis>,
+    /// Revision of its announcement, if it has one.
+    announced_revision: Option<u64>,
+}
+
+impl Gateway {
+    fn last_activity(&self) -> Millis {
+        self.last_message.unwrap_or(self.changed_at).max(self.changed_at)
+    }
+}
+
+/// Result of comparing the directory with a full list of announcements.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct AnnouncementDiff {
+    /// Gateways that are new, or announce a new address.
+    pub discovered: Vec<GatewayAnnouncement>,
+    /// True when this gateway's own announcement is missing.
+    pub own_is_missing: bool,
+}
+
+/// The other gateways, as known to one gateway.
+///
+/// ```
+/// use bulrushusher_forward::{GatewayAnnouncement, GatewayDirectory, GatewayDirectoryConfig};
+/// use bulrushusher_time::Millis;
+/// let cfg = GatewayDirectoryConfig::default();
+/// let mut gateways = GatewayDirectory::new(cfg, "entry-1".into());
+/// let address = "10.0.0.2:7000".parse().unwrap();
+/// let announcement = GatewayAnnouncement { name: "entry-2".into(), address, revision: 9 };
+/// let diff = gateways.apply_announcements(&[announcement.clone()], Millis(0));
+/// assert_eq!((diff.discovered, diff.own_is_missing), (vec![announcement], true));
+/// // It is sent each change for a limited time, and full reports for as long as it is announced.
+/// assert_eq!(gateways.active_addresses(Millis(500)), [address]);
+/// assert!(gateways.active_addresses(cfg.active_for).is_empty());
+/// assert_eq!(gateways.all_addresses(), [address]);
+/// ```
+#[derive(Clone, Debug)]
+pub struct GatewayDirectory {
+    cfg: GatewayDirectoryConfig,
+    own_name: Arc<str>,
+    gateways: HashMap<Arc<str>, Gateway>,
+}
+
+impl GatewayDirectory {
+    /// Creates an empty directory for the gateway named `own_name`.
+    pub fn new(cfg: GatewayDirectoryConfig, own_name: Arc<str>) -> GatewayDirectory {
+        GatewayDirectory { cfg, own_name, gateways: HashMap::new() }
+    }
+
+    /// Records a message from a gateway; returns true when it is new or has a new address.
+    pub fn record_message(&mut self, name: &str, address: SocketAddr, now: Millis) -> bool {
+        let gateway = self.gateways.get_mut(name);
+        if let Some(gateway) = gateway.filter(|gateway| gateway.address == address) {
+            gateway.last_message = Some(now);
+            return false;
+        }
+        let announced_revision =
+            self.gateways.get(name).and_then(|gateway| gateway.announced_revision);
+        let last_message = Some(now);
+        let gateway = Gateway { address, changed_at: now, last_message, announced_revision };
+        self.insert(name.into(), gateway);
+        true
+    }
+
+    /// Applies a full list of announcements. Gateways that are neither announced nor active are
+    /// dropped.
+    pub fn apply_announcements(
+        &mut self,
+        announcements: &[GatewayAnnouncement],
+        now: Millis,
+    ) -> AnnouncementDiff {
+        let mut diff = AnnouncementDiff { own_is_missing: true, ..AnnouncementDiff::default() };
+        for announcement in announcements {
+            if announcement.name == self.own_name {
+                diff.own_is_missing = false;
+            } else if self.apply_announcement(announcement, now) {
+                diff.discovered.push(announcement.clone());
+            }
+        }
+        let active_for = self.cfg.active_for;
+        let names: HashSet<&str> =
+            announcements.iter().map(|announcement| &*announcement.name).collect();
+        self.gateways.retain(|name, gateway| {
+            gateway.announced_revision =
+                gateway.announced_revision.filter(|_| names.contains(&**name));
+            gateway.announced_revision.is_some() || now.since(gateway.last_activity()) < active_for
+        });
+        diff
+    }
+
+    /// Returns true when the gateway is new or has a new address. The address of a recent message
+    /// takes precedence over the announcement, which may stem from the gateway's previous start. A
+    /// rewritten announcement counts as a sign of life.
+    fn apply_announcement(&mut self, announcement: &GatewayAnnouncement, now: Millis) -> bool {
+        let (address, revision) = (announcement.address, Some(announcement.revision));
+        let active_for = self.cfg.active_for;
+        if let Some(gateway) = self.gateways.get_mut(&announcement.name) {
+            if gateway.announced_revision.is_some() && gateway.announced_revision != revision {
+                gateway.changed_at = now;
+            }
+            gateway.announced_revision = revision;
+            let has_recent_message =
+                gateway.last_message.is_some_and(|at| now.since(at) < active_for);
+            if gateway.address == address || has_recent_message {
+                return false;
+            }
+        }
+        let gateway =
+            Gateway { address, changed_at: now, last_message: None, announced_revision: revision };
+        self.insert(announcement.name.clone(), gateway);
+        true
+    }
+
+    fn insert(&mut self, name: Arc<str>, gateway: Gateway) {
+        self.gateways.insert(name, gateway);
+        if self.gateways.len() > self.cfg.max_gateways {
+            let oldest = self
+                .gateways
+                .iter()
+                .min_by_key(|(name, gateway)| (gateway.last_activity(), (*name).clone()));
+            if let Some(name) = oldest.map(|(name, _)| name.clone()) {
+                self.gateways.remove(&name);
+            }
+        }
+    }
+
+    /// Addresses of active gateways: those to send each change to.
+    pub fn active_addresses(&self, now: Millis) -> Vec<SocketAddr> {
+        self.active(now).map(|(_, gateway)| gateway.address).collect()
+    }
+
+    /// Names and addresses of active gateways.
+    pub fn active_gateways(&self, now: Millis) -> Vec<(Arc<str>, SocketAddr)> {
+        self.active(now).map(|(name, gateway)| (name.clone(), gateway.address)).collect()
+    }
+
+    fn active(&self, now: Millis) -> impl Iterator<Item = (&Arc<str>, &Gateway)> {
+        self.gateways
+            .iter()
+            .filter(move |(_, gateway)| now.since(gateway.last_activity()) < self.cfg.active_for)
+    }
+
+    /// Address at which a gateway receives messages.
+    pub fn address_of(&self, name: &str) -> Option<SocketAddr> {
+        self.gateways.get(name).map(|gateway| gateway.address)
+    }
+
+    /// Addresses of all known gateways. Full reports go to all of them, so that gateways behind a
+    /// healed partition are reached too.
+    pub fn all_addresses(&self) -> Vec<SocketAddr> {
+        self.gateways.values().map(|gateway| gateway.address).collect()
+    }
+
+    /// Expired announcements for this gateway to remove, each on condition that its revision is
+    /// unchanged. Empty while there is no recent message from any other gateway, as this one may
+    /// then be the partitioned one. Among gateways that receive each other's messages, rendezvous
+    /// hashing assigns each announcement to one of them. Across a partition each announcement is
+    /// removed and rewritten once per [`GatewayDirectoryConfig::gone_after`].
+    pub fn expired_announcements(&self, now: Millis) -> Vec<GatewayAnnouncement> {
+        let has_recent_message = |gateway: &Gateway| {
+            gateway.last_message.is_some_and(|at| now.since(at) < self.cfg.active_for)
+        };
+        let announced =
+            self.gateways.iter().filter(|(_, gateway)| gateway.announced_revision.is_some());
+        if !self.gateways.values().any(has_recent_message) {
+            return Vec::new();
+        }
+        let expired = announced
+            .filter(|(_, gateway)| now.since(gateway.last_activity()) >= self.cfg.gone_after);
+        let assigned =
+            expired.filter(|(name, _)| self.is_responsible_for(name, has_recent_message));
+        let mut assigned: Vec<GatewayAnnouncement> = assigned
+            .filter_map(|(name, gateway)| {
+                let (name, address) = (name.clone(), gateway.address);
+                Some(GatewayAnnouncement { name, address, revision: gateway.announced_revision? })
+            })
+            .collect();
+        assigned.sort_by(|a, b| a.name.cmp(&b.name));
+        assigned.truncate(self.cfg.max_removals);
+        assigned
+    }
+
+    /// True when this gateway comes first in rendezvous order among those with recent messages.
+    fn is_responsible_for(
+        &self,
+        name: &str,
+        has_recent_message: impl Fn(&Gateway) -> bool,
+    ) -> bool {
+        let live = self.gateways.iter().filter(|(_, gateway)| has_recent_message(gateway));
+        is_among_first(1, name, &self.own_name, live.map(|(other, _)| &**other))
+    }
+}
--- a/crates/bulrushusher_forward/src/moves.rs
+++ b/crates/bulrushusher_forward/src/moves.rs
@@ -7,8 +7,8 @@
 use bulrushusher_time::Millis;
 
 use crate::{
-    ForecastConfig, MemoryForecast, MemoryNeed, RunNote, RunNumber, Runner, Runs, SelectionContext,
-    rank_for_decode,
+    ForecastConfig, MemoryForecast, MemoryNeed, RunNumber, RunReport, Runner, Runs,
+    SelectionContext, rank_for_decode,
 };
 
 /// Thresholds for moves.
@@ -85,12 +85,12 @@
         run: RunNumber,
         forecast: &MemoryForecast,
         now: Millis,
-    ) -> Option<&RunNote> {
-        let note = self.note(run)?;
-        let at_runner = self.need_at(&note.runner, forecast, now);
+    ) -> Option<&RunReport> {
+        let report = self.get(run)?;
+        let at_runner = self.need_at(&report.runner, forecast, now);
         let is_due = forecast.overflows_soon(&at_runner, MoveConfig::default())
             && self.is_newest(run, forecast.tokens_per_ms, now);
-        is_due.then_some(note)
+        is_due.then_some(report)
     }
 }
 
@@ -100,16 +100,16 @@
     cx: SelectionContext<'_>,
     runs: &Runs,
     forecast: &MemoryForecast,
-    note: &RunNote,
+    report: &RunReport,
     draw: f64,
 ) -> Option<Runner> {
-    let need = forecast.need(&[note.shape()]);
+    let need = forecast.need(&[report.shape()]);
     let now = cx.now;
     let peak = |runner: &Runner| {
         let at_runner = runs.need_at(&runner.id, forecast, now);
         let has_slot = at_runner.runs < runner.slots as usize;
         has_slot.then(|| forecast.peak_after_move(&at_runner, &need, MoveConfig::default()))?
     };
-    let current = std::slice::from_ref(&note.runner);
+    let current = std::slice::from_ref(&report.runner);
     rank_for_decode(cx, current, draw, peak).into_iter().next()
 }
--- a/crates/bulrushusher_forward/src/report.rs
+++ b/crates/bulrushusher_forward/src/report.rs
@@ -1,4 +1,4 @@
-//! What gateways tell each other of their runs: whole reports, and what changed since the last one.
+//! Reports between gateways: full reports of a gateway's state, and deltas between two reports.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,198 +6,203 @@
 use bulrushusher_world::RunnerId;
 use serde::{Deserialize, Serialize};
 
-use crate::{Born, DrainReport, LimitReport, NewsSeen, RunCounts, RunShape, Starts, StoreContact};
+use crate::{
+    DrainReport, LimitReport, RunCounts, RunShape, SeenRevisions, StartTime, StartTimes,
+    StoreContact,
+};
 
-/// One run, as gateways tell each other.
+/// One run in a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RunNote {
-    /// Tells it apart from other runs of its gateway; 0 before memory is held for it.
+pub struct RunReport {
+    /// Identifies the run within its gateway; 0 before memory is reserved for it.
     pub number: u64,
     /// The decode runner.
     pub runner: RunnerId,
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub prompt: u64,
-    /// Tokens generated when this was written.
-    pub made: u64,
-    /// Tokens that it had when it came to this runner: more than none after a move.
-    pub made_before: u64,
-    /// Tokens that the caller expects.
+    /// Tokens generated when the report was written.
+    pub generated: u64,
+    /// Tokens already generated when the run last joined its runner's batch; above zero after a
+    /// move or a preemption.
+    pub generated_at_join: u64,
+    /// Output tokens expected by the caller.
     pub expected: u64,
-    /// The most tokens that may be generated.
-    pub most: u64,
-    /// True while it generates; before, memory is held and the prompt is read, and a run that its
-    /// engine has preempted waits.
-    pub begun: bool,
-    /// True when its runner reads the prompt itself.
-    pub reads_itself: bool,
+    /// Maximum output tokens.
+    pub max_output: u64,
+    /// True while the run generates. False while only memory is reserved, while the prompt is being
+    /// processed, and while the run is preempted.
+    pub is_generating: bool,
+    /// True when the decode runner prefills the prompt itself.
+    pub prefills_itself: bool,
 }
 
-impl RunNote {
-    /// A run for which memory is held.
-    pub fn new(runner: RunnerId, shape: RunShape) -> RunNote {
-        RunNote {
+impl RunReport {
+    /// A run for which memory has been reserved.
+    pub fn new(runner: RunnerId, shape: RunShape) -> RunReport {
+        RunReport {
             number: 0,
             runner,
             prompt: shape.prompt as u64,
-            made: shape.generated as u64,
-            made_before: shape.generated as u64,
+            generated: shape.generated as u64,
+            generated_at_join: shape.generated as u64,
             expected: shape.expected as u64,
-            most: shape.max_output as u64,
-            begun: false,
-            reads_itself: false,
+            max_output: shape.max_output as u64,
+            is_generating: false,
+            prefills_itself: false,
         }
     }
 
-    /// What the run needs of memory.
+    /// Memory shape of the run.
     pub fn shape(&self) -> RunShape {
         self.shape_after(0.0)
     }
 
-    /// The same after it made `grown` tokens more.
+    /// Memory shape after `grown` more tokens.
     pub(crate) fn shape_after(&self, grown: f64) -> RunShape {
-        let most = self.most as f64;
+        let max_output = self.max_output as f64;
         RunShape {
             prompt: self.prompt as f64,
-            generated: (self.made as f64 + grown).min((most - 1.0).max(0.0)),
+            generated: (self.generated as f64 + grown).min((max_output - 1.0).max(0.0)),
             expected: self.expected as f64,
-            max_output: most,
+            max_output,
         }
     }
 
-    /// Tokens that it has made at this runner.
-    pub(crate) fn made_here(&self) -> u64 {
-        self.made.saturating_sub(self.made_before)
+    /// Tokens generated since the run last joined its runner's batch.
+    pub(crate) fn generated_since_join(&self) -> u64 {
+        self.generated.saturating_sub(self.generated_at_join)
     }
 
-    /// True when it is where and what it was, whatever it has made meanwhile: those who hear of it
-    /// reckon that themselves.
-    fn is_as_before(&self, before: &RunNote) -> bool {
-        RunNote { made: before.made, ..self.clone() } == *before
+    /// True when nothing but the number of generated tokens differs from `before`; receivers
+    /// extrapolate that number themselves.
+    fn is_unchanged_since(&self, before: &RunReport) -> bool {
+        RunReport { generated: before.generated, ..self.clone() } == *before
     }
 }
 
-/// What one gateway tells its peers.
+/// State that a gateway reports to its peers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GatewayReport {
-    /// Start of the gateway that tells, Unix time in ms; a later one replaces an earlier one.
-    pub life: u64,
-    /// Counts its reports; one that arrives behind a later one is dropped.
-    pub number: u64,
-    /// Its generations that wait for memory and can still be on time.
+    /// Start of the reporting gateway in Unix ms; a later start supersedes an earlier one.
+    pub incarnation: u64,
+    /// Sequence number of the report; a report that arrives after a later one is dropped.
+    pub sequence: u64,
+    /// Generations that wait for memory and can still meet their target.
     pub waiting: u32,
-    /// Those that wait and are late already.
+    /// Generations that wait for memory and are already late.
     pub waiting_late: u32,
-    /// Its runs.
-    pub runs: Vec<RunNote>,
-    /// Prompt tokens that it has at prefill runners.
-    pub reads: Vec<(RunnerId, u64)>,
-    /// Runners that change their stage by its orders, or by others' that it knows of.
-    pub changing: Vec<RunnerId>,
-    /// How runs ended at runners that fail some.
+    /// The gateway's runs.
+    pub runs: Vec<RunReport>,
+    /// Prompt tokens that the gateway has in flight at prefill runners.
+    pub prefill_tokens: Vec<(RunnerId, u64)>,
+    /// Runners that are switching stage by an order of this gateway, or of others known to it.
+    pub switching_stage: Vec<RunnerId>,
+    /// Success and failure counts of runners with failed runs.
     pub failing: Vec<RunCounts>,
-    /// Runners that it could not reach lately.
+    /// Runners that the gateway recently failed to reach.
     pub silent: Vec<RunnerId>,
-    /// Changes of the store that it knows.
-    pub news: NewsSeen,
-    /// What it has with the store.
+    /// Latest store revisions that the gateway has seen.
+    pub seen_revisions: SeenRevisions,
+    /// The gateway's contact with the store.
     pub contact: StoreContact,
-    /// What client accounts used of their quotas there.
+    /// Quota that client accounts have used at the gateway.
     pub spends: UsageReport,
-    /// Rate limits that runners name.
+    /// Rate limits that runners requested.
     pub limits: Vec<LimitReport>,
-    /// Runners that have said themselves that they leave.
+    /// Drain notices of runners.
     pub leaving: Vec<DrainReport>,
-    /// The starts of the runners that this report speaks of, where runners tell them. What it says
-    /// of an earlier start than the hearer knows does not count.
-    pub starts: BTreeMap<RunnerId, Born>,
+    /// Start times of the runners in this report, for runners that report one. The receiver ignores
+    /// statements about an earlier start than it knows.
+    pub starts: BTreeMap<RunnerId, StartTime>,
 }
 
 impl GatewayReport {
-    /// Adds the starts of the runners that it speaks of, as far as they are known.
-    pub fn add_starts(&mut self, starts: &Starts) {
-        let known = self.spoken_of().filter_map(|id| Some((id.clone(), starts.last(id)?)));
+    /// Adds the known start times of the runners in this report.
+    pub fn add_starts(&mut self, starts: &StartTimes) {
+        let known =
+            self.mentioned_runners().filter_map(|id| Some((id.clone(), starts.latest(id)?)));
         self.starts = known.collect();
     }
 
-    /// The runners whose runs, readings or state it tells; one may come several times.
+    /// The runners that have runs, prefills or state in this report, possibly with duplicates.
     pub(crate) fn runners(&self) -> impl Iterator<Item = &RunnerId> {
-        let runs = self.runs.iter().map(|note| &note.runner);
-        let reads = self.reads.iter().map(|(runner, _)| runner);
-        runs.chain(reads).chain(&self.changing).chain(&self.silent)
+        let runs = self.runs.iter().map(|run| &run.runner);
+        let prefills = self.prefill_tokens.iter().map(|(runner, _)| runner);
+        runs.chain(prefills).chain(&self.switching_stage).chain(&self.silent)
     }
 
-    /// All runners that it speaks of.
-    fn spoken_of(&self) -> impl Iterator<Item = &RunnerId> {
+    /// All runners in this report, including those with failure counts only.
+    fn mentioned_runners(&self) -> impl Iterator<Item = &RunnerId> {
         self.runners().chain(self.failing.iter().map(|counts| &counts.runner))
     }
 
-    /// True when it says anything of the runner.
-    pub(crate) fn speaks_of(&self, runner: &RunnerId) -> bool {
-        self.spoken_of().any(|spoken_of| spoken_of == runner)
+    /// True when the report contains the runner.
+    pub(crate) fn mentions(&self, runner: &RunnerId) -> bool {
+        self.mentioned_runners().any(|mentioned| mentioned == runner)
     }
 
-    /// The runs that are new or other than `before`, and those of then that are over.
-    pub(crate) fn differences<'a>(
+    /// Runs that are new or differ from `before`, and runs of `before` that have ended.
+    pub(crate) fn diff<'a>(
         &'a self,
         before: &'a GatewayReport,
-    ) -> (Vec<&'a RunNote>, Vec<&'a RunNote>) {
-        let mut known: HashMap<u64, &RunNote> =
-            before.runs.iter().map(|note| (note.number, note)).collect();
-        let is_other = |note: &&RunNote| {
-            let before = known.remove(&note.number);
-            !before.is_some_and(|before| note.is_as_before(before))
+    ) -> (Vec<&'a RunReport>, Vec<&'a RunReport>) {
+        let mut known: HashMap<u64, &RunReport> =
+            before.runs.iter().map(|run| (run.number, run)).collect();
+        let is_changed = |run: &&RunReport| {
+            let before = known.remove(&run.number);
+            !before.is_some_and(|before| run.is_unchanged_since(before))
         };
-        let changed = self.runs.iter().filter(is_other).collect();
+        let changed = self.runs.iter().filter(is_changed).collect();
         (changed, known.into_values().collect())
     }
 
-    /// Drops what it says of runners for which `is_past` holds.
-    pub(crate) fn drop_past(&mut self, is_past: impl Fn(&RunnerId) -> bool) {
-        self.runs.retain(|note| !is_past(&note.runner));
-        self.reads.retain(|(runner, _)| !is_past(runner));
-        self.changing.retain(|runner| !is_past(runner));
-        self.failing.retain(|counts| !is_past(&counts.runner));
-        self.silent.retain(|runner| !is_past(runner));
+    /// Removes the runners for which `matches` returns true.
+    pub(crate) fn remove_runners(&mut self, matches: impl Fn(&RunnerId) -> bool) {
+        self.runs.retain(|run| !matches(&run.runner));
+        self.prefill_tokens.retain(|(runner, _)| !matches(runner));
+        self.switching_stage.retain(|runner| !matches(runner));
+        self.failing.retain(|counts| !matches(&counts.runner));
+        self.silent.retain(|runner| !matches(runner));
     }
 }
 
-/// What changed since the report before: its runs that are new, went elsewhere, began or stalled, and
-/// the numbers of those that ended. What a run made meanwhile is not told; all else is told whole.
+/// A delta between two consecutive reports: runs that are new, moved, began or stalled, and the
+/// numbers of runs that ended. Progress of runs is omitted; all other fields are sent in full.
 ///
 /// ```
-/// use bulrushusher_forward::{GatewayChanges, GatewayReport, RunNote, RunShape};
-/// let run = RunShape { prompt: 5_000.0, generated: 0.0, expected: 3_000.0, max_output: 9_000.0 };
-/// let note = RunNote { number: 1, ..RunNote::new("i-1".try_into().unwrap(), run) };
-/// let before = GatewayReport { number: 1, runs: vec![note.clone()], ..GatewayReport::default() };
+/// use bulrushusher_forward::{GatewayDelta, GatewayReport, RunReport, RunShape};
+/// let shape = RunShape { prompt: 5_000.0, generated: 0.0, expected: 3_000.0, max_output: 9_000.0 };
+/// let run = RunReport { number: 1, ..RunReport::new("i-1".try_into().unwrap(), shape) };
+/// let before = GatewayReport { sequence: 1, runs: vec![run.clone()], ..GatewayReport::default() };
 /// let grown = GatewayReport {
-///     number: 2,
-///     runs: vec![RunNote { made: 70, ..note.clone() }],
+///     sequence: 2,
+///     runs: vec![RunReport { generated: 70, ..run.clone() }],
 ///     ..before.clone()
 /// };
-/// let changes = GatewayChanges::between(&before, &grown);
-/// assert!(changes.report.runs.is_empty() && changes.ended.is_empty());
-/// let ended = GatewayReport { number: 3, runs: Vec::new(), ..grown.clone() };
-/// assert_eq!(GatewayChanges::between(&grown, &ended).ended, [1]);
+/// let delta = GatewayDelta::between(&before, &grown);
+/// assert!(delta.report.runs.is_empty() && delta.ended.is_empty());
+/// let ended = GatewayReport { sequence: 3, runs: Vec::new(), ..grown.clone() };
+/// assert_eq!(GatewayDelta::between(&grown, &ended).ended, [1]);
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct GatewayChanges {
-    /// The report, of whose runs only those stand here that changed.
+pub struct GatewayDelta {
+    /// The later report, with changed runs only.
     pub report: GatewayReport,
-    /// Numbers of the runs that are over.
+    /// Numbers of runs that ended.
     pub ended: Vec<u64>,
 }
 
-impl GatewayChanges {
-    /// What changed from one report to the next.
-    pub fn between(before: &GatewayReport, now: &GatewayReport) -> GatewayChanges {
-        let (changed, ended) = now.differences(before);
+impl GatewayDelta {
+    /// The delta from one report to the next.
+    pub fn between(before: &GatewayReport, now: &GatewayReport) -> GatewayDelta {
+        let (changed, ended) = now.diff(before);
         let runs = changed.into_iter().cloned().collect();
-        let ended = ended.into_iter().map(|note| note.number).collect();
-        GatewayChanges { report: GatewayReport { runs, ..now.clone() }, ended }
+        let ended = ended.into_iter().map(|run| run.number).collect();
+        GatewayDelta { report: GatewayReport { runs, ..now.clone() }, ended }
     }
 
-    /// The runs of which a peer's changes speak.
-    pub(crate) fn speaks_of(&self, number: u64) -> bool {
-        self.ended.contains(&number) || self.report.runs.iter().any(|note| note.number == number)
+    /// True when the delta contains the run.
+    pub(crate) fn mentions(&self, number: u64) -> bool {
+        self.ended.contains(&number) || self.report.runs.iter().any(|run| run.number == number)
     }
 }
--- /dev/null
+++ b/crates/bulrushusher_forward/src/runner_directory.rs
@@ -0,0 +1,366 @@
+//! Directory of known runners, and how it treats lapsed entries around a store outage.
+
+use std::collections::HashMap;
+
+use bulrushusher_time::Millis;
+use bulrushusher_world::{RunnerId, ServiceName};
+
+use serde::{Deserialize, Serialize};
+
+use crate::{Runner, StartStatus, StartTime, StartTimes};
+
+/// Time limits of the runner directory.
+#[derive(Clone, Copy, Debug)]
+pub struct RunnerDirectoryConfig {
+    /// Store silence after which entries may have lapsed although their runners are alive.
+    pub outage_after: Millis,
+    /// How long a lapsed entry stays usable once the store answers again.
+    pub return_grace: Millis,
+}
+
+impl Default for RunnerDirectoryConfig {
+    /// The platform guarantees that entries of live runners are back within two seconds after the
+    /// store returns. Entries lapse after three missed heartbeats, so a shorter silence lapses
+    /// none.
+    fn default() -> RunnerDirectoryConfig {
+        RunnerDirectoryConfig { outage_after: Millis(1_500), return_grace: Millis(2_000) }
+    }
+}
+
+/// How long the removal of an entry is remembered. A store can be restored from a backup that is
+/// some seconds old and still contains the entry.
+const REMOVAL_TTL: Millis = Millis(60_000);
+
+/// How long a drain notice is kept for a runner that is no longer listed. Gateways stop passing it
+/// on earlier than that, so a gateway that has dropped it does not receive it as new.
+const DRAIN_NOTICE_TTL: Millis = Millis(2 * REMOVAL_TTL.0);
+
+/// Whether the store's list still contains a runner.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Listing {
+    Listed,
+    /// Missing from the list around a store outage; usable until then unless it is listed again.
+    Lapsed {
+        until: Millis,
+    },
+}
+
+#[derive(Clone, Debug)]
+struct Entry {
+    runner: Runner,
+    listing: Listing,
+}
+
+/// Changes made by a full list.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct RunnerListDiff {
+    /// Runners that the list no longer contains.
+    pub missing: Vec<RunnerId>,
+    /// Runners that restarted; their earlier state is invalid.
+    pub restarted: Vec<RunnerId>,
+}
+
+/// The known runners.
+///
+/// ```
+/// use bulrushusher_forward::{RunnerDirectory, RunnerDirectoryConfig, Runner};
+/// use bulrushusher_time::Millis;
+/// let runner = Runner {
+///     id: "i-1".try_into().unwrap(),
+///     born: None,
+///     service: "board-app".try_into().unwrap(),
+///     address: "10.0.0.1:80".parse().unwrap(),
+///     data_centre: "ba-ruzinov".try_into().unwrap(),
+///     slots: 6,
+///     stage: None,
+///     leaving: false,
+/// };
+/// let mut runners = RunnerDirectory::new(RunnerDirectoryConfig::default());
+/// runners.store_answered(Millis(0));
+/// runners.put(runner.clone());
+/// runners.remove(&runner.id, Millis(100));
+/// assert!(runners.get(&runner.id, Millis(100)).is_none(), "removed while the store was well");
+/// ```
+#[derive(Clone, Debug)]
+pub struct RunnerDirectory {
+    cfg: RunnerDirectoryConfig,
+    known: HashMap<RunnerId, Entry>,
+    starts: StartTimes,
+    last_answer: Option<Millis>,
+    last_outage_end: Option<Millis>,
+    was_fully_listed: bool,
+    /// Runners whose entries were removed, with the time of removal.
+    removed: HashMap<RunnerId, Millis>,
+    /// True until the first full list after the store was restored from a backup.
+    is_restored: bool,
+    /// Drain notices by runner.
+    drain_notices: HashMap<RunnerId, DrainNotice>,
+}
+
+/// A runner's drain notice, as gateways pass it on to each other.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct DrainReport {
+    /// The runner.
+    pub runner: RunnerId,
+    /// The start of the runner that sent the notice.
+    pub born: Option<StartTime>,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct DrainNotice {
+    born: Option<StartTime>,
+    received_at: Millis,
+}
+
+impl RunnerDirectory {
+    /// Creates an empty directory.
+    pub fn new(cfg: RunnerDirectoryConfig) -> RunnerDirectory {
+        RunnerDirectory {
+            cfg,
+            known: HashMap::new(),
+            starts: StartTimes::default(),
+            last_answer: None,
+            last_outage_end: None,
+            was_fully_listed: false,
+            removed: HashMap::new(),
+            is_restored: false,
+            drain_notices: HashMap::new(),
+        }
+    }
+
+    /// Records that a start of a runner announced its drain in a response; it gets no new work from
+    /// then on, whatever its store entry says. The runner updates that entry later, and the store
+    /// may be unavailable or restored from an older backup. Returns true when the notice is new.
+    pub fn record_drain_notice(&mut self, report: &DrainReport, now: Millis) -> bool {
+        let DrainReport { runner, born } = report;
+        if self.starts.is_superseded(runner, *born) || self.has_drain_notice(runner, *born) {
+            return false;
+        }
+        let known = &self.known;
+        self.drain_notices.retain(|id, notice| {
+            known.contains_key(id) || now.since(notice.received_at) < DRAIN_NOTICE_TTL
+        });
+        self.drain_notices.insert(runner.clone(), DrainNotice { born: *born, received_at: now });
+        if let Some(known) = self.known.get_mut(runner).filter(|it| it.runner.born == *born) {
+            known.runner.leaving = true;
+        }
+        true
+    }
+
+    /// Drain notices to pass on to other gateways. Those of runners removed for longer than
+    /// a minute are left out.
+    pub fn drain_reports(&self, now: Millis) -> Vec<DrainReport> {
+        let is_passed_on = |id: &RunnerId, notice: &DrainNotice| {
+            self.known.contains_key(id) || now.since(notice.received_at) < REMOVAL_TTL
+        };
+        let passed_on = self.drain_notices.iter().filter(|(id, notice)| is_passed_on(id, notice));
+        let mut reports: Vec<DrainReport> =
+            passed_on.map(|(id, it)| DrainReport { runner: id.clone(), born: it.born }).collect();
+        reports.sort_unstable_by(|a, b| a.runner.cmp(&b.runner));
+        reports
+    }
+
+    /// True when this start of the runner sent a drain notice.
+    pub fn has_drain_notice(&self, id: &RunnerId, born: Option<StartTime>) -> bool {
+        self.drain_notices.get(id).is_some_and(|notice| notice.born == born)
+    }
+
+    /// Records that the store was restored from an older backup. Entries missing from the backup
+    /// are rewritten by their runners, as after an outage; entries in it may be outdated, for
+    /// runners that have since begun to drain or have been removed.
+    pub fn record_store_restore(&mut self, now: Millis) {
+        self.last_outage_end = Some(now);
+        self.is_restored = true;
+    }
+
+    /// Records an answer of the store; returns the length of the silence before it if that was an
+    /// outage.
+    pub fn store_answered(&mut self, now: Millis) -> Option<Millis> {
+        self.store_answered_after(Millis(0), now)
+    }
+
+    /// Like [`RunnerDirectory::store_answered`], for a long poll of up to `wait`, during which no
+    /// answer was due.
+    ///
+    /// ```
+    /// use bulrushusher_forward::{RunnerDirectory, RunnerDirectoryConfig};
+    /// use bulrushusher_time::Millis;
+    /// let mut runners = RunnerDirectory::new(RunnerDirectoryConfig::default());
+    /// runners.store_answered(Millis(0));
+    /// assert_eq!(runners.store_answered_after(Millis(8_000), Millis(8_010)), None);
+    /// assert!(runners.store_answered_after(Millis(1_000), Millis(12_000)).is_some());
+    /// ```
+    pub fn store_answered_after(&mut self, wait: Millis, now: Millis) -> Option<Millis> {
+        let silent = self.last_answer.map(|at| now.since(at).since(wait));
+        self.last_answer = Some(now);
+        let outage = silent.filter(|silent| *silent >= self.cfg.outage_after);
+        if outage.is_some() {
+            self.last_outage_end = Some(now);
+        }
+        outage
+    }
+
+    /// Starts measuring the store's silence: this gateway sent it no requests before `now`.
+    pub fn begin_store_polling(&mut self, now: Millis) {
+        self.last_answer = Some(now);
+    }
+
+    /// Records the end of a store outage that a relay reported.
+    pub fn record_outage_end(&mut self, at: Millis) {
+        self.last_outage_end = self.last_outage_end.max(Some(at));
+    }
+
+    /// Time since the end of an outage, while entries may still be missing because of it.
+    pub fn outage_age(&self, now: Millis) -> Option<Millis> {
+        let age = self.last_outage_end.map(|end| now.since(end));
+        age.filter(|age| *age < self.cfg.return_grace)
+    }
+
+    /// True when the store lists the runner with exactly this entry.
+    pub fn is_listed_as(&self, runner: &Runner) -> bool {
+        let known = self.known.get(&runner.id);
+        known.is_some_and(|it| it.listing == Listing::Listed && it.runner == *runner)
+    }
+
+    /// True once any entries are known, even if only the first page of a list.
+    pub fn has_entries(&self) -> bool {
+        self.was_fully_listed || !self.known.is_empty()
+    }
+
+    /// True once a full list was applied.
+    pub fn has_full_list(&self) -> bool {
+        self.was_fully_listed
+    }
+
+    /// Replaces the directory by a full list.
+    pub fn replace_all(&mut self, mut runners: Vec<Runner>, now: Millis) -> RunnerListDiff {
+        if std::mem::take(&mut self.is_restored) {
+            self.correct_restored_list(&mut runners, now);
+        }
+        let listed: HashMap<RunnerId, Runner> =
+            runners.into_iter().map(|r| (r.id.clone(), r)).collect();
+        let missing: Vec<RunnerId> =
+            self.known.keys().filter(|id| !listed.contains_key(*id)).cloned().collect();
+        for id in &missing {
+            self.remove(id, now);
+        }
+        let mut restarted = Vec::new();
+        for (id, runner) in listed {
+            if self.put(runner) == StartStatus::Newer {
+                restarted.push(id);
+            }
+        }
+        self.was_fully_listed = true;
+        RunnerListDiff { missing, restarted }
+    }
+
+    /// Corrects a list from a restored backup: a removed runner comes back only by registering
+    /// again, and a draining one stays draining.
+    fn correct_restored_list(&self, runners: &mut Vec<Runner>, now: Millis) {
+        let is_gone =
+            |id: &RunnerId| self.removed.get(id).is_some_and(|at| now.since(*at) < REMOVAL_TTL);
+        runners.retain(|runner| !is_gone(&runner.id));
+        for runner in runners {
+            let known = self.known.get(&runner.id).map(|known| &known.runner);
+            let is_same = |known: &&Runner| known.born == runner.born;
+            runner.leaving |= known.filter(is_same).is_some_and(|known| known.leaving);
+        }
+    }
+
+    /// Applies one entry. An entry of an earlier start is ignored. An entry without a start time,
+    /// for a runner that has reported one, was not written by that runner and makes it unusable.
+    pub fn put(&mut self, mut runner: Runner) -> StartStatus {
+        let status = self.starts.record(&runner.id, runner.born);
+        match status {
+            StartStatus::Stale => {}
+            StartStatus::Missing => self.forget(&runner.id),
+            StartStatus::Current | StartStatus::Newer => {
+                self.remove_lapsed_at_address(&runner);
+                self.removed.remove(&runner.id);
+                runner.leaving |= self.has_drain_notice(&runner.id, runner.born);
+                let known = Entry { runner, listing: Listing::Listed };
+                self.known.insert(known.runner.id.clone(), known);
+            }
+        }
+        status
+    }
+
+    /// Records a start time that the runner reported itself, possibly before its entry shows it.
+    pub fn record_start(&mut self, id: &RunnerId, born: Option<StartTime>) -> StartStatus {
+        let status = self.starts.record(id, born);
+        if let (StartStatus::Newer, Some(known)) = (status, self.known.get_mut(id)) {
+            known.runner.born = born;
+        }
+        status
+    }
+
+    /// True when a later start under the identity of `runner` is known; memory holds, KV caches and
+    /// runs of the earlier one are lost.
+    pub fn is_superseded(&self, runner: &Runner) -> bool {
+        self.starts.is_superseded(&runner.id, runner.born)
+    }
+
+    /// Drops lapsed runners at the same address: it now belongs to the runner listed last.
+    fn remove_lapsed_at_address(&mut self, runner: &Runner) {
+        self.known.retain(|id, known| {
+            *id == runner.id
+                || known.listing == Listing::Listed
+                || known.runner.address != runner.address
+        });
+    }
+
+    /// Records the removal of an entry. Around a store outage the runner may still be alive, so its
+    /// entry only lapses.
+    pub fn remove(&mut self, id: &RunnerId, now: Millis) {
+        let until = self.last_outage_end.map(|end| end.plus(self.cfg.return_grace));
+        match until {
+            Some(until) if now < until => {
+                if let Some(known) = self.known.get_mut(id) {
+                    known.listing = Listing::Lapsed { until };
+                }
+            }
+            _ => {
+                self.known.remove(id);
+                self.removed.retain(|_, at| now.since(*at) < REMOVAL_TTL);
+                self.removed.insert(id.clone(), now);
+            }
+        }
+    }
+
+    /// Drops a runner that is known to be gone.
+    pub fn forget(&mut self, id: &RunnerId) {
+        self.known.remove(id);
+    }
+
+    /// The runner with that identity, if it is usable.
+    pub fn get(&self, id: &RunnerId, now: Millis) -> Option<&Runner> {
+        self.known.get(id).filter(|known| known.is_usable(now)).map(|known| &known.runner)
+    }
+
+    /// Usable runners of a service that accept new work.
+    pub fn usable<'a>(
+        &'a self,
+        service: &'a ServiceName,
+        now: Millis,
+    ) -> impl Iterator<Item = &'a Runner> {
+        self.known
+            .values()
+            .filter(move |known| known.is_usable(now) && known.runner.service == *service)
+            .map(|known| &known.runner)
+            .filter(|runner| !runner.leaving)
+    }
+
+    /// All usable runners, including draining ones.
+    pub fn all(&self, now: Millis) -> impl Iterator<Item = &Runner> {
+        self.known.values().filter(move |known| known.is_usable(now)).map(|known| &known.runner)
+    }
+}
+
+impl Entry {
+    fn is_usable(&self, now: Millis) -> bool {
+        match self.listing {
+            Listing::Listed => true,
+            Listing::Lapsed { until } => now < until,
+        }
+    }
+}
--- a/crates/bulrushusher_forward/tests/back_pressure.rs
+++ b/crates/bulrushusher_forward/tests/back_pressure.rs
@@ -1,8 +1,8 @@
 //! Back-pressure is binding, in whatever order signals and requests arrive.
 
 use bulrushusher_forward::{
-    BackPressure, BackPressureConfig, BackPressureError, Born, LimitReport, RateLimit, Runner,
-    RunnerSignals,
+    BackPressure, BackPressureConfig, BackPressureError, LimitReport, RateLimit, Runner,
+    RunnerSignals, StartTime,
 };
 use bulrushusher_time::Millis;
 use proptest::prelude::*;
@@ -10,7 +10,7 @@
 fn runner(born: u64) -> Runner {
     Runner {
         id: "i-1".try_into().unwrap(),
-        born: Some(Born(born)),
+        born: Some(StartTime(born)),
         service: "board-app".try_into().unwrap(),
         address: "10.0.0.1:80".parse().unwrap(),
         data_centre: "dc-1".try_into().unwrap(),
@@ -145,7 +145,7 @@
 fn the_latest_report_of_a_limit_applies() {
     let report = |limit, age| LimitReport {
         runner: "i-1".try_into().unwrap(),
-        born: Some(Born(1)),
+        born: Some(StartTime(1)),
         limit,
         age: Millis(age),
     };
--- a/crates/bulrushusher_forward/tests/fuzz.rs
+++ b/crates/bulrushusher_forward/tests/fuzz.rs
@@ -6,8 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bulrushusher_forward::{
-    AttemptEnd, AttemptPlan, EventSplitter, FinalAnswer, Members, MembersConfig, NextStep,
-    PlainSelection, RouteKind, Runner, RunnerLoads, Shutdown, ShutdownConfig, pick_for_call,
+    AttemptEnd, AttemptPlan, EventSplitter, FinalAnswer, NextStep, PlainSelection, RouteKind,
+    Runner, RunnerDirectory, RunnerDirectoryConfig, RunnerLoads, Shutdown, ShutdownConfig,
+    pick_for_call,
 };
 use bulrushusher_forward::{LoadConfig, SelectionContext};
 use bulrushusher_routing::{RetryBudget, RetryConfig};
@@ -247,8 +248,8 @@
 
     #[test]
     fn only_runners_known_from_the_store_get_work(events in events(), draw in 0.0_f64..1.0) {
-        let cfg = MembersConfig::default();
-        let mut members = Members::new(cfg);
+        let cfg = RunnerDirectoryConfig::default();
+        let mut members = RunnerDirectory::new(cfg);
         let mut store = StoreModel::default();
         let mut now = Millis(10_000);
         members.store_answered(now);
--- a/crates/bulrushusher_forward/tests/memory_machine.rs
+++ b/crates/bulrushusher_forward/tests/memory_machine.rs
@@ -8,7 +8,9 @@
 
 use std::collections::BTreeMap;
 
-use bulrushusher_forward::{Born, GatewayReport, PeersConfig, RunNote, RunNumber, RunShape, Runs};
+use bulrushusher_forward::{
+    GatewayReport, PeersConfig, RunNumber, RunReport, RunShape, Runs, StartTime,
+};
 use bulrushusher_time::Millis;
 use bulrushusher_world::RunnerId;
 use proptest::prelude::*;
@@ -243,10 +245,10 @@
     format!("i-{n}").as_str().try_into().expect("valid name")
 }
 
-fn note(n: u8, prompt: u64) -> RunNote {
+fn note(n: u8, prompt: u64) -> RunReport {
     let shape =
         RunShape { prompt: prompt as f64, generated: 0.0, expected: 3_000.0, max_output: 9_000.0 };
-    RunNote::new(runner(n), shape)
+    RunReport::new(runner(n), shape)
 }
 
 impl Fleet {
@@ -254,7 +256,7 @@
         match step {
             Step::Hold { gateway, runner, prompt } => {
                 let gateway = &mut self.gateways[gateway];
-                gateway.live.push((gateway.runs.hold(note(runner, prompt)), runner));
+                gateway.live.push((gateway.runs.add(note(runner, prompt)), runner));
             }
             Step::Progress { gateway, run, made } => {
                 let gateway = &mut self.gateways[gateway];
@@ -276,7 +278,7 @@
                     self.sent.get(message.checked_rem(self.sent.len()).unwrap_or(0)).cloned()
                     && from != gateway
                 {
-                    self.gateways[gateway].runs.hear(&format!("g{from}"), report, self.now);
+                    self.gateways[gateway].runs.apply_report(&format!("g{from}"), report, self.now);
                 }
             }
             Step::Wait { ms } => self.now = self.now.plus(Millis(ms)),
@@ -287,7 +289,7 @@
             Step::Learn { gateway, runner: n, late } => {
                 let born = learned_start(self.born.get(&n).copied().unwrap_or(0), late);
                 let Gateway { runs, live, .. } = &mut self.gateways[gateway];
-                runs.note_start(&runner(n), Some(Born(born)));
+                runs.record_start(&runner(n), Some(StartTime(born)));
                 // Runs at an earlier process start are forgotten; ending them has no effect.
                 let own = runs.own().filter(|note| note.runner == runner(n)).count();
                 if own == 0 {
@@ -306,8 +308,8 @@
         let gateway = &mut self.gateways[from];
         gateway.number += 1;
         let mut report = GatewayReport {
-            life: gateway.life,
-            number: gateway.number,
+            incarnation: gateway.life,
+            sequence: gateway.number,
             runs: gateway.runs.own().cloned().collect(),
             ..GatewayReport::default()
         };
@@ -335,7 +337,7 @@
     fn check_invariants(fleet: &Fleet, model: &Model) {
         for (n, gateway) in fleet.gateways.iter().enumerate() {
             for at in 0..RUNNERS {
-                let shapes = gateway.runs.at(&runner(at), 1.4, fleet.now);
+                let shapes = gateway.runs.shapes_at(&runner(at), 1.4, fleet.now);
                 assert_eq!(shapes.len(), model.known_runs(n, at), "runs at {at} as known to {n}");
                 for shape in shapes {
                     assert!(
--- a/crates/bulrushusher_gateway/src/knowledge/mod.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/mod.rs
@@ -12,8 +12,8 @@
 use bulrushusher_accounts::{AccountTable, ConfigLease, QuotaLimiter};
 use bulrushusher_forward::{
     AccountCost, AttemptEnd, AttemptPlan, BackPressure, BackPressureConfig, BackPressureView,
-    CallResult, EngineSpec, HealthConfig, Members, NextStep, PeersConfig, PlainSelection,
-    QueueRank, RelayView, Route, RoutingConfig, Runner, RunnerHealth, RunnerLoads, Runs,
+    CallResult, EngineSpec, HealthConfig, NextStep, PeersConfig, PlainSelection, QueueRank,
+    RelayView, Route, RoutingConfig, Runner, RunnerDirectory, RunnerHealth, RunnerLoads, Runs,
     SelectionContext, TimingConfig, TimingModel, TypicalPatience, WaitQueue, pick_for_call,
     pick_for_prefill,
 };
@@ -49,7 +49,7 @@
 /// Runners and what this gateway has there.
 #[derive(Debug)]
 pub(crate) struct Runners {
-    pub members: Members,
+    pub members: RunnerDirectory,
     pub loads: RunnerLoads,
 }
 
@@ -113,8 +113,10 @@
         let name = cfg.name.to_string().into();
         let relays = relays::RelayState::new(&cfg);
         let pressure = BackPressure::new(BackPressureConfig::default(), name);
-        let runners =
-            Runners { members: Members::new(cfg.members), loads: RunnerLoads::new(cfg.loads) };
+        let runners = Runners {
+            members: RunnerDirectory::new(cfg.members),
+            loads: RunnerLoads::new(cfg.loads),
+        };
         Knowledge {
             clock,
             cfg: ArcSwap::from_pointee(cfg),
@@ -202,12 +204,12 @@
 
     /// True once requests can be served: a configuration is in force, and some runners are known.
     pub(crate) fn can_serve(&self) -> bool {
-        self.routing.load().is_some() && self.runners.lock().members.is_begun()
+        self.routing.load().is_some() && self.runners.lock().members.has_entries()
     }
 
     /// True once all runners are known too.
     pub(crate) fn is_complete(&self) -> bool {
-        self.routing.load().is_some() && self.runners.lock().members.is_complete()
+        self.routing.load().is_some() && self.runners.lock().members.has_full_list()
     }
 
     pub(crate) fn with_runners<T>(&self, f: impl FnOnce(&mut Runners, Millis) -> T) -> T {
@@ -240,7 +242,7 @@
     ) -> Option<Runner> {
         let draw = self.draw();
         self.with_pool(service, |cx, runs| {
-            let elsewhere = |id: &RunnerId| runs.reads_of_peers(id, cx.now);
+            let elsewhere = |id: &RunnerId| runs.prefill_tokens_of_peers(id, cx.now);
             pick_for_prefill(cx, near, tried, draw, elsewhere)
         })
     }
@@ -277,7 +279,7 @@
     pub(crate) fn takes_work(&self, runner: &Runner) -> bool {
         self.with_runners(|runners, now| {
             let known = runners.members.get(&runner.id, now);
-            known.is_some_and(|known| !known.leaving && !runners.members.is_past(runner))
+            known.is_some_and(|known| !known.leaving && !runners.members.is_superseded(runner))
         })
     }
 
@@ -289,7 +291,7 @@
     /// Takes in how a call to a runner went. What an earlier start did says nothing of this one.
     pub(crate) fn note_call(&self, runner: &Runner, result: CallResult) {
         self.with_runners(|runners, now| {
-            if !runners.members.is_past(runner) {
+            if !runners.members.is_superseded(runner) {
                 runners.loads.record(&runner.id, result, now);
             }
         });
@@ -335,7 +337,7 @@
     }
 
     fn with_budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
-        let gateways = self.runs.lock().peers(self.now()) + 1;
+        let gateways = self.runs.lock().peer_count(self.now()) + 1;
         let cfg = self.cfg.load().retries.split(gateways.max(LEAST_RETRY_SHARERS));
         let mut budgets = self.budgets.lock();
         let budget = budgets.entry(service.clone()).or_insert_with(|| RetryBudget::new(cfg));
--- a/crates/bulrushusher_gateway/src/knowledge/moves.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/moves.rs
@@ -1,6 +1,6 @@
 //! Which run should leave its decode runner, and for which other one.
 
-use bulrushusher_forward::{RunNote, RunNumber, Runner, pick_for_move};
+use bulrushusher_forward::{RunNumber, RunReport, Runner, pick_for_move};
 use bulrushusher_world::ServiceName;
 
 use super::Knowledge;
@@ -13,14 +13,14 @@
     /// It should leave, and no runner has room for it.
     NoRoom,
     /// It should go on at that runner.
-    Moves { to: Runner, note: RunNote },
+    Moves { to: Runner, note: RunReport },
 }
 
 impl Knowledge {
     /// Whether the run should move now: its runner is about to run out of memory, and it is the one
     /// that would be preempted.
     pub(crate) fn run_fate(&self, service: &ServiceName, run: RunNumber) -> RunFate {
-        if !self.engine(service).is_some_and(|engine| engine.moves_runs) {
+        if !self.engine(service).is_some_and(|engine| engine.can_move_runs) {
             return RunFate::Stays;
         }
         let forecast = self.forecast(service);
--- a/crates/bulrushusher_gateway/src/peers/relaying.rs
+++ b/crates/bulrushusher_gateway/src/peers/relaying.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 
-use bulrushusher_forward::{DeltaNews, DeltaRequest, NewsSeen, RunnerDelta};
+use bulrushusher_forward::{DeltaRequest, PageOutcome, RunnerDelta, SeenRevisions};
 use bulrushusher_time::Millis;
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct StoreNews {
     /// The last changes that it knows.
-    pub news: NewsSeen,
+    pub news: SeenRevisions,
     /// What changed in the list of runners.
     pub runners: Option<RunnerDelta>,
     /// What the last change of the configuration was.
@@ -109,10 +109,12 @@
     pub(crate) async fn hear_store(&self, socket: &UdpSocket, told: StoreNews, from: SocketAddr) {
         if let Some(page) = told.runners {
             match self.knowledge.sort_delta(page) {
-                DeltaNews::Apply(delta) => self.intake.take_delta(delta),
-                DeltaNews::Missing(req) => self.write(socket, Word::AskRunners(req), &[from]).await,
-                DeltaNews::Known => {}
-                DeltaNews::OtherEra => self.knowledge.store_due.notify_one(),
+                PageOutcome::Apply(delta) => self.intake.take_delta(delta),
+                PageOutcome::Missing(req) => {
+                    self.write(socket, Word::AskRunners(req), &[from]).await;
+                }
+                PageOutcome::Known => {}
+                PageOutcome::OtherEra => self.knowledge.store_due.notify_one(),
             }
         }
         if let Some(change) = told.routing {
@@ -140,7 +142,7 @@
             let after = self.told_store.load(Ordering::Relaxed);
             let delta = self.knowledge.delta(&DeltaRequest { after, page_after: None });
             let now = self.knowledge.now();
-            let known = self.announcer.known.lock().told_by_name(now);
+            let known = self.announcer.known.lock().active_gateways(now);
             let listeners = self.knowledge.listeners(&known);
             if listeners.is_empty() {
                 continue;
--- a/crates/bulrushusher_gateway/src/peers/speaking.rs
+++ b/crates/bulrushusher_gateway/src/peers/speaking.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
 
-use bulrushusher_forward::{ChangesNews, GatewayChanges, GatewayReport};
+use bulrushusher_forward::{DeltaOutcome, GatewayDelta, GatewayReport};
 use bulrushusher_routing::CrashUpdate;
 use bulrushusher_time::Millis;
 use tokio::net::UdpSocket;
@@ -84,7 +84,7 @@
     /// each other by the square of their number.
     async fn note_heard(&self, socket: &UdpSocket, name: &str, address: SocketAddr) {
         let now = self.knowledge.now();
-        if self.announcer.known.lock().hear(name, address, now) {
+        if self.announcer.known.lock().record_message(name, address, now) {
             log::info!("peers: found name={name} address={address}");
             self.answer(socket, address).await;
         }
@@ -115,7 +115,7 @@
         match word {
             Word::Whole(report) => self.knowledge.hear_peer(name, report),
             Word::Changes(changes) => {
-                if self.knowledge.hear_changes(name, changes) == ChangesNews::Missed
+                if self.knowledge.hear_changes(name, changes) == DeltaOutcome::Gap
                     && self.may_ask(from)
                 {
                     self.write(socket, Word::Missed, &[from]).await;
@@ -172,8 +172,8 @@
                 let known = self.announcer.known.lock();
                 match word {
                     // Whoever was cut off hears of this gateway again by a whole report.
-                    Word::Whole(_) => known.all(),
-                    _ => known.told(self.knowledge.now()),
+                    Word::Whole(_) => known.all_addresses(),
+                    _ => known.active_addresses(self.knowledge.now()),
                 }
             };
             self.write(socket, word, &peers).await;
@@ -196,7 +196,7 @@
                 times = CRASHES_TOLD;
             }
             news.merge(new);
-            let peers = self.announcer.known.lock().all();
+            let peers = self.announcer.known.lock().all_addresses();
             self.write(socket, Word::Crashes(news.clone()), &peers).await;
             times = times.saturating_sub(1);
             if times == 0 {
@@ -213,7 +213,7 @@
         report.spends = self.knowledge.spends(is_due || last.report.is_none());
         let before = last.report.replace(report.clone());
         match before.filter(|_| !is_due) {
-            Some(before) => Word::Changes(GatewayChanges::between(&before, &report)),
+            Some(before) => Word::Changes(GatewayDelta::between(&before, &report)),
             None => {
                 last.whole_at = now;
                 last.answered.clear();
--- a/crates/bulrushusher_gateway/src/placement/place.rs
+++ b/crates/bulrushusher_gateway/src/placement/place.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bulrushusher_forward::{
-    CallResult, QueueRank, RunNote, RunShape, Runner, Stage, tokens_to_hold,
+    CallResult, QueueRank, RunReport, RunShape, Runner, Stage, tokens_to_hold,
 };
 use bulrushusher_time::Millis;
 use bulrushusher_world::ServiceName;
@@ -220,7 +220,7 @@
         Ok((head, body)) => {
             cx.knowledge
                 .with_runners(|runners, now| runners.loads.record_reachable(&runner.id, now));
-            let terms = HoldTerms { note: RunNote::new(runner.id.clone(), shape), ttl };
+            let terms = HoldTerms { note: RunReport::new(runner.id.clone(), shape), ttl };
             read_answer(cx, runner.clone(), terms, head.status, &body)
         }
         Err(e) => {
@@ -276,6 +276,6 @@
 }
 
 fn hold_time<D: Dialect>(cx: &Router<D>, fwd: &Forwarded) -> Millis {
-    let longest = cx.knowledge.engine(&fwd.service).map(|engine| engine.longest_hold);
+    let longest = cx.knowledge.engine(&fwd.service).map(|engine| engine.max_hold);
     longest.filter(|longest| *longest > Millis(0)).unwrap_or(DEFAULT_HOLD)
 }
--- a/crates/bulrushusher_gateway/src/store/feed.rs
+++ b/crates/bulrushusher_gateway/src/store/feed.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use bulrushusher_forward::{StoreContact, StoreRole, era_of, number_of};
+use bulrushusher_forward::{StoreContact, StoreRole, era_of, number_in_era};
 use bulrushusher_report::GatewayMetrics;
 use bulrushusher_time::Millis;
 use futures_util::StreamExt;
@@ -196,7 +196,7 @@
     async fn watch(&self, is_listed: bool) -> Freshness {
         let alone = self.share(WAIT_SHARE);
         if self.topic == Topic::Runners && !is_listed {
-            self.knowledge.with_runners(|known, now| known.members.begin_asking(now));
+            self.knowledge.with_runners(|known, now| known.members.begin_store_polling(now));
         }
         // After a peer's word the store itself is asked, as often as without peers.
         let mut heeds_peers = true;
@@ -269,7 +269,7 @@
             "store: restored topic={} era={} revision={}",
             self.topic,
             era_of(revision),
-            number_of(revision)
+            number_in_era(revision)
         );
         self.knowledge.note_restore(self.topic);
     }
--- a/crates/bulrushusher_gateway/src/store/intake.rs
+++ b/crates/bulrushusher_gateway/src/store/intake.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use bulrushusher_forward::{ListNews, RoutingConfig, Runner, RunnerChange, RunnerDelta, StartNews};
+use bulrushusher_forward::{
+    RoutingConfig, Runner, RunnerChange, RunnerDelta, RunnerListDiff, StartStatus,
+};
 use bulrushusher_report::GatewayMetrics;
 use bulrushusher_world::RunnerId;
 
@@ -99,19 +101,19 @@
 
     /// Takes in what a relay told.
     pub(crate) fn take_delta(&self, delta: RunnerDelta) {
-        let RunnerDelta { of, revision, last_change, changes, outage_age, .. } = delta;
+        let RunnerDelta { request, revision, last_change, changes, outage_age, .. } = delta;
         log::info!(
             "runners: told by a relay changes={} after={} revision={revision}",
             changes.len(),
-            of.after
+            request.after
         );
         self.knowledge.with_runners(|known, now| {
             if let Some(age) = outage_age {
-                known.members.note_outage_end(now.since(age));
+                known.members.record_outage_end(now.since(age));
             }
         });
         changes.iter().for_each(|change| self.apply(change));
-        self.knowledge.log_changes(of.after, revision, last_change, changes);
+        self.knowledge.log_changes(request.after, revision, last_change, changes);
         self.knowledge.note_news(Topic::Runners, revision, last_change);
     }
 
@@ -129,9 +131,9 @@
             let changed = listed.iter().filter(|it| !known.members.is_listed_as(it)).cloned();
             changed.map(RunnerChange::Entry).collect()
         });
-        let ListNews { missing, started_again } = self.knowledge.put_all_runners(listed);
+        let RunnerListDiff { missing, restarted } = self.knowledge.put_all_runners(listed);
         self.forget(&missing);
-        started_again.iter().for_each(|id| self.pool.forget(id));
+        restarted.iter().for_each(|id| self.pool.forget(id));
         if !missing.is_empty() {
             log::info!("runners: no longer listed count={}", missing.len());
         }
@@ -149,12 +151,12 @@
             runner.born.map_or(0, |born| born.0),
         );
         match self.knowledge.put_runner(runner.clone()) {
-            StartNews::Same => {}
-            StartNews::Later => self.pool.forget(id),
-            StartNews::Earlier => {
+            StartStatus::Current => {}
+            StartStatus::Newer => self.pool.forget(id),
+            StartStatus::Stale => {
                 log::info!("runners: entry passed over id={id} cause=\"an earlier start\"");
             }
-            StartNews::Untold => {
+            StartStatus::Missing => {
                 log::warn!(
                     "runners: entry passed over id={id} field=born cause=\"not the runner's own\""
                 );
--- a/crates/bulrushusher_model/src/memory.rs
+++ b/crates/bulrushusher_model/src/memory.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use bulrushusher_forward::{
-    ForecastConfig, MemoryForecast, RunNote, RunShape, Runner, SelectionContext, rank_for_decode,
+    ForecastConfig, MemoryForecast, RunReport, RunShape, Runner, SelectionContext, rank_for_decode,
     should_request_memory,
 };
 use bulrushusher_time::Millis;
@@ -76,7 +76,7 @@
         if !self.fleet.heeds_failures {
             return BTreeSet::new();
         }
-        let at_peers = gateway.runs.failing_at_peers(now);
+        let at_peers = gateway.runs.failures_at_peers(now);
         let fails = |id: &&RunnerId| gateway.health.is_failing(id, at_peers.get(id), now);
         self.ids.iter().filter(fails).cloned().collect()
     }
@@ -107,8 +107,8 @@
         let Caller { arrival, gateway, .. } = self.callers[n];
         let held = self.tokens_held(&arrival);
         self.held[decode].push((n, held));
-        let note = RunNote::new(self.ids[decode].clone(), shape(&arrival));
-        let run = self.gateways[gateway].runs.hold(note);
+        let note = RunReport::new(self.ids[decode].clone(), shape(&arrival));
+        let run = self.gateways[gateway].runs.add(note);
         self.callers[n].state = State::Read { decode, run };
         let shortest = self.prefills.iter_mut().min_by(|a, b| a.waiting().total_cmp(&b.waiting()));
         if let Some(prefill) = shortest {
--- a/crates/bulrushusher_model/src/play.rs
+++ b/crates/bulrushusher_model/src/play.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 
 use bulrushusher_forward::{
-    AccountCost, GatewayReport, HealthConfig, LoadConfig, Members, MembersConfig, PeersConfig,
-    QueueRank, RunNumber, Runner, RunnerHealth, RunnerLoads, Runs, Stage, TimingConfig,
-    TimingModel, WaitQueue,
+    AccountCost, GatewayReport, HealthConfig, LoadConfig, PeersConfig, QueueRank, RunNumber,
+    Runner, RunnerDirectory, RunnerDirectoryConfig, RunnerHealth, RunnerLoads, Runs, Stage,
+    TimingConfig, TimingModel, WaitQueue,
 };
 use bulrushusher_time::Millis;
 use bulrushusher_world::{RunnerId, ServiceName};
@@ -64,7 +64,7 @@
 pub(crate) struct Played<'a> {
     pub fleet: &'a Fleet,
     pub service: ServiceName,
-    pub members: Members,
+    pub members: RunnerDirectory,
     pub loads: RunnerLoads,
     pub ids: Vec<RunnerId>,
     pub gateways: Vec<Gateway>,
@@ -102,7 +102,7 @@
 impl<'a> Played<'a> {
     fn new(fleet: &'a Fleet, arrivals: &[Arrival], seed: u64) -> Played<'a> {
         let service: ServiceName = "llm".try_into().expect("a good name");
-        let mut members = Members::new(MembersConfig::default());
+        let mut members = RunnerDirectory::new(RunnerDirectoryConfig::default());
         let mut ids = Vec::new();
         for n in 0..fleet.decodes {
             let runner = runner(&service, n);
@@ -331,8 +331,8 @@
 
     fn wait(&mut self, n: usize, rank: QueueRank, until: Millis, now: Millis) {
         let gateway = self.callers[n].gateway;
-        let late_behind = rank.late && self.gateways[gateway].runs.peers_wait_on_time(now);
-        let others = self.gateways[gateway].runs.peers_that_wait(now);
+        let late_behind = rank.late && self.gateways[gateway].runs.peers_have_on_time_waiting(now);
+        let others = self.gateways[gateway].runs.peers_with_waiting(now);
         if self.gateways[gateway].line.may_request_memory(&rank)
             && !late_behind
             && let Some(decode) = self.find_memory(n, others, now)
@@ -370,15 +370,15 @@
         {
             for to in (0..self.gateways.len()).filter(|to| *to != sent.from) {
                 let name = format!("g{}", sent.from);
-                self.gateways[to].runs.hear(&name, sent.report.clone(), now);
+                self.gateways[to].runs.apply_report(&name, sent.report.clone(), now);
             }
         }
         for from in 0..self.gateways.len() {
             self.gateways[from].reports += 1;
             let teller = &self.gateways[from];
             let report = GatewayReport {
-                life: 1,
-                number: teller.reports,
+                incarnation: 1,
+                sequence: teller.reports,
                 waiting: teller.line.on_time() as u32,
                 waiting_late: (teller.line.len() - teller.line.on_time()) as u32,
                 runs: teller.runs.own().cloned().collect(),
