--- a/crates/bulrushusher_agent/src/agent.rs
+++ b/crates/bulrushusher_agent/src/agent.rs
@@ -94,12 +94,12 @@
         let clock = Clock::system();
         let incarnation = uuid::Uuid::now_v7().as_u128() as u64;
         let http = HttpClient::new();
-        let silent = cfg.silent.duration();
+        let silent = cfg.idle_timeout.duration();
         let engine = EngineClient::new(http.clone(), cfg.target, silent);
         let shared = Arc::new(Shared {
             incarnation,
             keys: Keys::new(&cfg, clock.clone(), incarnation),
-            desk: Desk::new(cfg.gate, clock),
+            desk: Desk::new(cfg.admission, clock),
             http,
             engine,
             engine_load: Mutex::new((0, 0)),
@@ -142,7 +142,7 @@
                 tokio::time::sleep(DRAIN_TICK).await;
             }
         };
-        let drain = self.shared.cfg.drain.duration();
+        let drain = self.shared.cfg.drain_timeout.duration();
         let cut = tokio::time::timeout(drain, drained).await.is_err();
         if cut {
             log::warn!("{LOG} the drain bound is over, {} cut off", self.shared.desk.used());
--- a/crates/bulrushusher_agent/src/config.rs
+++ b/crates/bulrushusher_agent/src/config.rs
@@ -101,7 +101,7 @@
     /// Address of the engine or plain service.
     pub target: SocketAddr,
     /// Places, queue and time-to-live of grants.
-    pub gate: AdmissionConfig,
+    pub admission: AdmissionConfig,
     /// How long callers may retry a key.
     pub horizon: Millis,
     /// Largest difference between two clocks.
@@ -111,13 +111,13 @@
     /// Bytes of finished answers kept for retries.
     pub max_answer_bytes: usize,
     /// How often an idle stream sends a heartbeat.
-    pub beat: Millis,
+    pub heartbeat_interval: Millis,
     /// Silence of the engine after which the connection is replaced.
-    pub silent: Millis,
+    pub idle_timeout: Millis,
     /// How long a run goes on with no entry known to read it.
-    pub orphan: Millis,
+    pub orphan_timeout: Millis,
     /// How long a graceful shutdown waits for what is in flight.
-    pub drain: Millis,
+    pub drain_timeout: Millis,
 }
 
 impl AgentConfig {
@@ -134,7 +134,7 @@
             control: values.address("agent", "control"),
             stream: values.address("agent", "stream"),
             target: values.address("agent", "target"),
-            gate: AdmissionConfig {
+            admission: AdmissionConfig {
                 slots: values.count("gate", "places"),
                 max_queued: values.count("gate", "queue").max(1),
                 time_to_live: values.millis("gate", "time_to_live_ms"),
@@ -143,10 +143,10 @@
             skew: values.millis("records", "skew_ms"),
             max_keys: values.count("records", "keys"),
             max_answer_bytes: values.count("records", "answer_bytes"),
-            beat: values.millis("streams", "beat_ms"),
-            silent: values.millis("streams", "silent_ms"),
-            orphan: values.millis("streams", "orphan_ms"),
-            drain: values.millis("streams", "drain_ms"),
+            heartbeat_interval: values.millis("streams", "beat_ms"),
+            idle_timeout: values.millis("streams", "silent_ms"),
+            orphan_timeout: values.millis("streams", "orphan_ms"),
+            drain_timeout: values.millis("streams", "drain_ms"),
         })
     }
 }
--- a/crates/bulrushusher_agent/src/control.rs
+++ b/crates/bulrushusher_agent/src/control.rs
@@ -27,7 +27,7 @@
         let reserved = |grant: bulrushusher_admission::Grant| Reservation {
             id: grant.id,
             incarnation: shared.incarnation,
-            time_to_live: shared.cfg.gate.time_to_live,
+            time_to_live: shared.cfg.admission.time_to_live,
         };
         Ok(ReserveReply { outcome: granted.map(reserved), load: shared.desk.load() })
     }
--- a/crates/bulrushusher_agent/src/runner.rs
+++ b/crates/bulrushusher_agent/src/runner.rs
@@ -82,7 +82,7 @@
 /// Returns once the run was given up, or nobody was known to read it for the orphan bound: also
 /// when a connection looks open and its other end is gone.
 async fn unwanted(shared: &Shared, answer: &Answer) {
-    let orphan = shared.cfg.orphan.duration();
+    let orphan = shared.cfg.orphan_timeout.duration();
     let begun = Instant::now();
     loop {
         let changed = answer.streams_changed.notified();
--- a/crates/bulrushusher_agent/src/streams.rs
+++ b/crates/bulrushusher_agent/src/streams.rs
@@ -111,7 +111,7 @@
 /// Sends what comes of an answer, and heartbeats in between, until its end or the stream's.
 async fn send_frames(shared: &Shared, answer: &Answer, from: usize, tx: &mpsc::Sender<Bytes>) {
     let mut next = from;
-    let beat = shared.cfg.beat.duration();
+    let beat = shared.cfg.heartbeat_interval.duration();
     loop {
         let changed = answer.changed.notified();
         let (frames, body, is_end) = answer.frames_from(next);
--- a/crates/bulrushusher_entry/src/api.rs
+++ b/crates/bulrushusher_entry/src/api.rs
@@ -49,7 +49,7 @@
         .then(move |method, path: FullPath, query, headers, body| {
             let shared = Arc::clone(&shared);
             async move {
-                let read = read_body(body, shared.cfg.max_body).await;
+                let read = read_body(body, shared.cfg.max_body_bytes).await;
                 let path = path.as_str().to_owned();
                 let answer = match read {
                     Ok(body) => {
--- a/crates/bulrushusher_entry/src/config.rs
+++ b/crates/bulrushusher_entry/src/config.rs
@@ -119,11 +119,11 @@
     /// Address of the platform's store.
     pub store: SocketAddr,
     /// Largest body of a request, in bytes.
-    pub max_body: usize,
+    pub max_body_bytes: usize,
     /// Requests in flight at once.
     pub max_in_flight: usize,
     /// How long a graceful shutdown waits for what is in flight.
-    pub drain: Millis,
+    pub drain_timeout: Millis,
     /// How runners are chosen.
     pub pairing: PairingConfig,
     /// How accounts' quotas are split.
@@ -131,9 +131,9 @@
     /// How many retries there may be.
     pub retries: RetryConfig,
     /// Silence of an agent after which the connection is replaced.
-    pub silent: Millis,
+    pub idle_timeout: Millis,
     /// How long a lost stream is asked for again.
-    pub resume: Millis,
+    pub resume_timeout: Millis,
     /// How long callers may retry a key.
     pub horizon: Millis,
     /// Largest difference between two clocks.
@@ -153,9 +153,9 @@
             callers: values.address("entry", "callers"),
             operators: values.address("entry", "operators"),
             store: values.address("entry", "store"),
-            max_body: values.count("entry", "max_body_bytes"),
+            max_body_bytes: values.count("entry", "max_body_bytes"),
             max_in_flight: values.count("entry", "max_in_flight"),
-            drain: values.millis("entry", "drain_ms"),
+            drain_timeout: values.millis("entry", "drain_ms"),
             pairing: PairingConfig {
                 policy,
                 choices: values.count("routing", "choices"),
@@ -169,8 +169,8 @@
                 per_request: values.real("retries", "per_request"),
                 ..RetryConfig::default()
             },
-            silent: values.millis("streams", "silent_ms"),
-            resume: values.millis("streams", "resume_ms"),
+            idle_timeout: values.millis("streams", "silent_ms"),
+            resume_timeout: values.millis("streams", "resume_ms"),
             horizon: values.millis("records", "horizon_ms"),
             skew: values.millis("records", "skew_ms"),
         })
--- a/crates/bulrushusher_entry/src/entry.rs
+++ b/crates/bulrushusher_entry/src/entry.rs
@@ -73,7 +73,7 @@
             configuration: ArcSwap::default(),
             configuring: Mutex::new(()),
             list_changed: Notify::new(),
-            agents: Agents::new(cfg.silent.duration()),
+            agents: Agents::new(cfg.idle_timeout.duration()),
             streams: Streams::default(),
             store: StoreClient::new(cfg.store),
             metrics: EntryMetrics::new(cfg.name.as_str()),
@@ -189,7 +189,7 @@
 
 /// What an entry tells of itself to the one who embeds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EntryFigures {
+pub struct EntryStatus {
     /// Requests in flight.
     pub in_flight: usize,
     /// Revision of the configuration in force.
@@ -251,8 +251,8 @@
     }
 
     /// What the entry tells of itself.
-    pub fn figures(&self) -> EntryFigures {
-        EntryFigures {
+    pub fn status(&self) -> EntryStatus {
+        EntryStatus {
             in_flight: self.shared.in_flight(),
             revision: self.shared.configuration.load().snapshot.revision,
             store_up: self.shared.is_store_up(),
@@ -264,7 +264,7 @@
         let name = self.shared.cfg.name.clone();
         log::info!("{LOG} {name} shuts down, {} in flight", self.shared.in_flight());
         self.shared.closing.store(true, Ordering::SeqCst);
-        let drain = self.shared.cfg.drain.duration();
+        let drain = self.shared.cfg.drain_timeout.duration();
         let shared = Arc::clone(&self.shared);
         let drained = async move {
             while shared.in_flight() > 0 {
--- a/crates/bulrushusher_entry/src/lib.rs
+++ b/crates/bulrushusher_entry/src/lib.rs
@@ -24,7 +24,7 @@
 mod settle;
 
 pub use config::{EntryConfig, PROGRAM, split_evenly};
-pub use entry::{Entry, EntryFigures};
+pub use entry::{Entry, EntryStatus};
 pub use request::{ACCOUNT_HEADER, CLASS_HEADER, DEADLINE_HEADER, KEY_HEADER};
 
 /// Prefix of every log line of this part.
--- a/crates/bulrushusher_entry/src/run_stream.rs
+++ b/crates/bulrushusher_entry/src/run_stream.rs
@@ -120,7 +120,7 @@
     /// Finds out whether an order without an answer was taken, and makes sure that it is not taken
     /// any more if not.
     async fn find_out(&mut self, order: &RunOrder, open: &mut OpenStream) -> StreamEnd {
-        let until = self.shared.clock.now().plus(self.shared.cfg.resume);
+        let until = self.shared.clock.now().plus(self.shared.cfg.resume_timeout);
         while self.shared.clock.now() < until && !self.tx.is_closed() {
             if let Ok(stream) = self.connect(open, Millis(0), Some(order.reservation)).await {
                 match self.read(stream, open).await {
@@ -142,7 +142,7 @@
     pub(crate) async fn attach(&mut self, open: &mut OpenStream, wait: Millis) -> StreamEnd {
         match self.connect(open, wait, None).await {
             Ok(stream) => self.read(stream, open).await,
-            Err(_) => self.resume(open, self.shared.cfg.resume).await,
+            Err(_) => self.resume(open, self.shared.cfg.resume_timeout).await,
         }
     }
 
@@ -170,7 +170,7 @@
                 if matches!(e, HttpError::Timeout { .. }) {
                     self.shared.agents.went_silent(self.endpoint);
                 }
-                self.resume(open, self.shared.cfg.resume).await
+                self.resume(open, self.shared.cfg.resume_timeout).await
             }
         }
     }
--- a/tools/bulrushusher_testbed/src/bed.rs
+++ b/tools/bulrushusher_testbed/src/bed.rs
@@ -401,15 +401,15 @@
         control: loopback(),
         stream: loopback(),
         target: target_addr,
-        gate: AdmissionConfig { slots: places, ..AdmissionConfig::default() },
+        admission: AdmissionConfig { slots: places, ..AdmissionConfig::default() },
         horizon: Millis(600_000),
         skew: Millis(200),
         max_keys: 100_000,
         max_answer_bytes: 32 << 20,
-        beat: Millis(200),
-        silent: Millis(1_000),
-        orphan: deployment.orphan,
-        drain: Millis(60_000),
+        heartbeat_interval: Millis(200),
+        idle_timeout: Millis(1_000),
+        orphan_timeout: deployment.orphan,
+        drain_timeout: Millis(60_000),
     };
     let agent_node = Node::new("agent")?;
     let cfg = agent_cfg.clone();
@@ -452,9 +452,9 @@
         callers: loopback(),
         operators: loopback(),
         store,
-        max_body: 8 << 20,
+        max_body_bytes: 8 << 20,
         max_in_flight: 20_000,
-        drain: Millis(60_000),
+        drain_timeout: Millis(60_000),
         pairing: PairingConfig {
             policy,
             seed: seed.wrapping_add(number as u64),
@@ -462,8 +462,8 @@
         },
         quotas: split_evenly(deployment.entries as u32),
         retries: RetryConfig::default(),
-        silent: Millis(1_000),
-        resume: Millis(6_000),
+        idle_timeout: Millis(1_000),
+        resume_timeout: Millis(6_000),
         horizon: Millis(600_000),
         skew: Millis(200),
     })
