--- a/crates/bulrushusher_entry/src/agents.rs
+++ b/crates/bulrushusher_entry/src/agents.rs
@@ -1,5 +1,5 @@
-//! Calls to agents. Every call is bounded in time; a call without an answer is `None` or an error,
-//! never a guess.
+//! Calls to agents. Every call has a timeout; a call without a reply returns `None` or an error,
+//! never an assumed result.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -21,132 +21,128 @@
 
 use crate::LOG;
 
-/// Bound of a short control call.
+/// Timeout of a control call that does not wait for a slot.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Added to the wait of a reservation.
-const RESERVE_SLACK: Duration = Duration::from_millis(500);
-const MAX_REQUEST: u32 = 32 << 20;
+/// Added to the wait of a reservation to get the timeout of its call.
+const RESERVE_MARGIN: Duration = Duration::from_millis(500);
+/// Maximum size of a control call, in bytes.
+const MAX_REQUEST_BYTES: u32 = 32 << 20;
 
-/// Connections to one agent. Both pools are given up together when one of them goes silent: what
-/// lost track of one connection has lost track of the others.
+/// Connection pools to one agent. A timeout in one of them replaces both, because a fault that
+/// breaks one connection without closing it usually breaks the others too.
 #[derive(Clone, Debug)]
 struct Connections {
     rpc: RpcClient,
     http: HttpClient,
 }
 
-/// The agents, by their control address.
+/// Clients of the agents, by control address.
 #[derive(Debug)]
 pub(crate) struct Agents {
     connections: Mutex<HashMap<SocketAddr, Connections>>,
-    silent: Duration,
+    idle_timeout: Duration,
 }
 
 impl Agents {
-    pub(crate) fn new(silent: Duration) -> Agents {
-        Agents { connections: Mutex::default(), silent }
+    pub(crate) fn new(idle_timeout: Duration) -> Agents {
+        Agents { connections: Mutex::default(), idle_timeout }
     }
 
     fn connections(&self, endpoint: &Endpoint) -> Option<Connections> {
         let mut connections = self.connections.lock();
-        if let Some(held) = connections.get(&endpoint.control) {
-            return Some(held.clone());
+        if let Some(existing) = connections.get(&endpoint.control) {
+            return Some(existing.clone());
         }
-        let builder = HttpClientBuilder::default().max_request_size(MAX_REQUEST);
-        // The bounds of single calls are set where they are made.
+        let builder = HttpClientBuilder::default().max_request_size(MAX_REQUEST_BYTES);
+        // `call` applies the shorter timeout of each call.
         let builder = builder.request_timeout(Duration::from_secs(120)).set_tcp_no_delay(true);
         let rpc = builder.build(format!("http://{}", endpoint.control)).ok()?;
-        let made = Connections { rpc, http: HttpClient::new() };
-        connections.insert(endpoint.control, made.clone());
-        Some(made)
+        let created = Connections { rpc, http: HttpClient::new() };
+        connections.insert(endpoint.control, created.clone());
+        Some(created)
     }
 
-    /// An agent was silent: its connections are not used again.
-    fn distrust(&self, endpoint: &Endpoint) {
+    /// Drops the connections to an agent after a timeout; the next call opens new ones.
+    pub(crate) fn replace_connections(&self, endpoint: &Endpoint) {
         if self.connections.lock().remove(&endpoint.control).is_some() {
             log::info!("{LOG} {} was silent, its connections are replaced", endpoint.name);
         }
     }
 
-    /// Makes a control call within a bound; `None` when there was no answer.
+    /// Makes a control call; `None` if there was no reply within `timeout`.
     async fn call<T, F>(
         &self,
         endpoint: &Endpoint,
-        bound: Duration,
+        timeout: Duration,
         call: impl FnOnce(RpcClient) -> F,
     ) -> Option<T>
     where
         F: Future<Output = Result<T, jsonrpsee::core::ClientError>>,
     {
         let rpc = self.connections(endpoint)?.rpc;
-        match tokio::time::timeout(bound, call(rpc)).await {
+        match tokio::time::timeout(timeout, call(rpc)).await {
             Ok(Ok(answer)) => Some(answer),
             Ok(Err(e)) => {
-                log::info!("{LOG} a call to {} failed: {e}", endpoint.name);
+                log::info!("{LOG} control call to {} failed: {e}", endpoint.name);
                 None
             }
             Err(_) => {
-                self.distrust(endpoint);
+                self.replace_connections(endpoint);
                 None
             }
         }
     }
 
-    /// Opens a stream; the wait for its head is bounded by `bound`.
+    /// Opens a stream; `timeout` limits the wait for the response head.
     async fn open<T: Serialize>(
         &self,
         endpoint: &Endpoint,
         path: &str,
         order: &T,
-        bound: Duration,
+        timeout: Duration,
     ) -> Result<LineStream, HttpError> {
-        let Some(held) = self.connections(endpoint) else {
-            let cause = "no client can be made".to_owned();
+        let Some(connections) = self.connections(endpoint) else {
+            let cause = "the client for its control address cannot be created".to_owned();
             return Err(HttpError::Connect { peer: endpoint.stream.to_string(), cause });
         };
-        let opened = held.http.post_stream(endpoint.stream, path, order, bound).await;
+        let opened = connections.http.post_stream(endpoint.stream, path, order, timeout).await;
         if matches!(opened, Err(HttpError::Timeout { .. })) {
-            self.distrust(endpoint);
+            self.replace_connections(endpoint);
         }
         opened
     }
 
-    /// A stream of this agent went silent.
-    pub(crate) fn went_silent(&self, endpoint: &Endpoint) {
-        self.distrust(endpoint);
-    }
-
-    /// Asks for a place; `None` when the agent did not answer.
+    /// Reserves a slot; `None` if the agent did not reply.
     pub(crate) async fn reserve(
         &self,
         endpoint: &Endpoint,
-        ask: ReserveRequest,
+        req: ReserveRequest,
     ) -> Option<ReserveReply> {
-        let bound = ask.wait.duration() + RESERVE_SLACK;
-        self.call(endpoint, bound, |rpc| async move { rpc.reserve(ask).await }).await
+        let timeout = req.wait.duration() + RESERVE_MARGIN;
+        self.call(endpoint, timeout, |rpc| async move { rpc.reserve(req).await }).await
     }
 
-    /// Gives a place back. An agent that does not hear it lets the reservation lapse.
+    /// Releases a reservation. If the call is lost, the reservation expires at the agent.
     pub(crate) async fn release(&self, endpoint: &Endpoint, id: ReservationId) {
         let release = |rpc: RpcClient| async move { rpc.release(id).await };
         self.call(endpoint, CALL_TIMEOUT, release).await;
     }
 
-    pub(crate) async fn claim(&self, endpoint: &Endpoint, ask: ClaimRequest) -> Option<ClaimReply> {
-        self.call(endpoint, CALL_TIMEOUT, |rpc| async move { rpc.claim(ask).await }).await
+    pub(crate) async fn claim(&self, endpoint: &Endpoint, req: ClaimRequest) -> Option<ClaimReply> {
+        self.call(endpoint, CALL_TIMEOUT, |rpc| async move { rpc.claim(req).await }).await
     }
 
-    pub(crate) async fn bar(&self, endpoint: &Endpoint, ask: BarRequest) -> Option<BarResponse> {
-        let bar = |rpc: RpcClient| async move { rpc.bar(vec![ask]).await };
+    pub(crate) async fn bar(&self, endpoint: &Endpoint, req: BarRequest) -> Option<BarResponse> {
+        let bar = |rpc: RpcClient| async move { rpc.bar(vec![req]).await };
         self.call(endpoint, CALL_TIMEOUT, bar).await?.into_iter().next()
     }
 
-    /// Gives up a stream, insisting: engine memory hangs on it.
-    pub(crate) async fn cancel(&self, endpoint: &Endpoint, ask: CancelRequest) {
+    /// Cancels a stream. Retries, because the run holds engine memory until it is cancelled.
+    pub(crate) async fn cancel(&self, endpoint: &Endpoint, req: CancelRequest) {
         const ATTEMPTS: usize = 3;
         for _ in 0..ATTEMPTS {
-            let ask = ask.clone();
-            let cancel = |rpc: RpcClient| async move { rpc.cancel(ask).await };
+            let req = req.clone();
+            let cancel = |rpc: RpcClient| async move { rpc.cancel(req).await };
             if self.call(endpoint, CALL_TIMEOUT, cancel).await.is_some() {
                 return;
             }
@@ -156,17 +152,17 @@
     pub(crate) async fn set_list(
         &self,
         endpoint: &Endpoint,
-        push: EndpointListUpdate,
+        update: EndpointListUpdate,
     ) -> Option<u64> {
-        self.call(endpoint, CALL_TIMEOUT, |rpc| async move { rpc.set_list(push).await }).await
+        self.call(endpoint, CALL_TIMEOUT, |rpc| async move { rpc.set_list(update).await }).await
     }
 
     pub(crate) async fn heartbeat(
         &self,
         endpoint: &Endpoint,
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
     ) -> Option<AgentStatus> {
-        self.call(endpoint, CALL_TIMEOUT, |rpc| async move { rpc.heartbeat(beat).await }).await
+        self.call(endpoint, CALL_TIMEOUT, |rpc| async move { rpc.heartbeat(heartbeat).await }).await
     }
 
     pub(crate) async fn prefill(
@@ -174,7 +170,7 @@
         endpoint: &Endpoint,
         order: &PrefillRun,
     ) -> Result<LineStream, HttpError> {
-        self.open(endpoint, "/prefill", order, self.silent).await
+        self.open(endpoint, "/prefill", order, self.idle_timeout).await
     }
 
     pub(crate) async fn run(
@@ -182,7 +178,7 @@
         endpoint: &Endpoint,
         order: &RunOrder,
     ) -> Result<LineStream, HttpError> {
-        self.open(endpoint, "/run", order, self.silent).await
+        self.open(endpoint, "/run", order, self.idle_timeout).await
     }
 
     pub(crate) async fn attach(
@@ -190,7 +186,7 @@
         endpoint: &Endpoint,
         order: &AttachOrder,
     ) -> Result<LineStream, HttpError> {
-        let bound = self.silent + Duration::from_millis(order.wait_ms);
-        self.open(endpoint, "/attach", order, bound).await
+        let timeout = self.idle_timeout + Duration::from_millis(order.wait_ms);
+        self.open(endpoint, "/attach", order, timeout).await
     }
 }
--- a/crates/bulrushusher_entry/src/api.rs
+++ b/crates/bulrushusher_entry/src/api.rs
@@ -1,4 +1,4 @@
-//! Callers' HTTP: `/v1/completions`, `/v1/chat/completions`, `/services/{service}/...`.
+//! The callers' HTTP API: `/v1/completions`, `/v1/chat/completions`, `/services/{service}/...`.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -16,11 +16,12 @@
 use warp::reply::Response;
 
 use crate::entry::Shared;
-use crate::request::{PromptJob, read_job, read_prompt};
+use crate::request::{PromptJob, parse_job, parse_prompt};
 use crate::run_stream::Part;
 use crate::{prompt_task, service_task};
 
-const PARTS: usize = 64;
+/// Parts of an answer buffered between a request's task and its HTTP response.
+const PART_BUFFER: usize = 64;
 const SERVICES: &str = "/services/";
 const SSE: &str = "text/event-stream";
 const JSON: &str = "application/json";
@@ -28,8 +29,8 @@
 
 type Parts = mpsc::Receiver<Result<Part, ApiError>>;
 
-/// A request as it came.
-struct Incoming {
+/// An HTTP request as received.
+struct HttpRequest {
     method: Method,
     path: String,
     query: String,
@@ -53,7 +54,7 @@
                 let path = path.as_str().to_owned();
                 let answer = match read {
                     Ok(body) => {
-                        answer(&shared, Incoming { method, path, query, headers, body }).await
+                        answer(&shared, HttpRequest { method, path, query, headers, body }).await
                     }
                     Err(e) => Err(e),
                 };
@@ -74,7 +75,7 @@
         let mut chunk =
             chunk.map_err(|e| ApiError::not_run(ErrorCode::BadJson, format!("body: {e}")))?;
         if buf.len() + chunk.remaining() > max {
-            let message = format!("the body has more than {max} bytes");
+            let message = format!("the body is larger than {max} bytes");
             return Err(ApiError::not_run(ErrorCode::BodyTooLarge, message));
         }
         buf.extend_from_slice(&chunk.copy_to_bytes(chunk.remaining()));
@@ -82,7 +83,7 @@
     Ok(buf.freeze())
 }
 
-async fn answer(shared: &Arc<Shared>, req: Incoming) -> Result<Response, ApiError> {
+async fn answer(shared: &Arc<Shared>, req: HttpRequest) -> Result<Response, ApiError> {
     shared.admit()?;
     match (&req.method, req.path.as_str()) {
         (&Method::POST, "/v1/completions") => prompt(shared, &req, false).await,
@@ -90,28 +91,28 @@
         (&Method::GET, "/metrics") => Ok(text_reply(200, "text/plain", shared.metrics_text())),
         (_, path) if path.starts_with(SERVICES) => service(shared, &req).await,
         (method, path) => {
-            let message = format!("{method} {path} is not served here");
+            let message = format!("no route for {method} {path}");
             Err(ApiError::not_run(ErrorCode::UnknownPath, message))
         }
     }
 }
 
-async fn prompt(shared: &Arc<Shared>, req: &Incoming, chat: bool) -> Result<Response, ApiError> {
+async fn prompt(shared: &Arc<Shared>, req: &HttpRequest, chat: bool) -> Result<Response, ApiError> {
     let now = shared.clock.now();
     let configuration = shared.configuration.load_full();
-    let job = read_prompt(&configuration, &req.headers, &req.body, chat, now)?;
+    let job = parse_prompt(&configuration, &req.headers, &req.body, chat, now)?;
     shared.admit_account(&configuration, &job.job)?;
-    let shape = Shape::of(&job);
-    let (tx, mut rx) = mpsc::channel(PARTS);
+    let format = ResponseFormat::of(&job);
+    let (tx, mut rx) = mpsc::channel(PART_BUFFER);
     tokio::spawn(prompt_task::run(Arc::clone(shared), job, tx));
-    let first = rx.recv().await.unwrap_or_else(|| Err(vanished()))?;
-    if shape.stream {
-        return Ok(stream_tokens(shape, first, rx));
+    let first = rx.recv().await.unwrap_or_else(|| Err(task_ended()))?;
+    if format.stream {
+        return Ok(stream_tokens(format, first, rx));
     }
-    collect_tokens(&shape, first, rx).await
+    collect_tokens(&format, first, rx).await
 }
 
-async fn service(shared: &Arc<Shared>, req: &Incoming) -> Result<Response, ApiError> {
+async fn service(shared: &Arc<Shared>, req: &HttpRequest) -> Result<Response, ApiError> {
     let now = shared.clock.now();
     let configuration = shared.configuration.load_full();
     let rest = req.path.strip_prefix(SERVICES).unwrap_or_default();
@@ -119,7 +120,7 @@
     let unknown = |message| ApiError::not_run(ErrorCode::UnknownService, message);
     let name = ServiceName::try_from(name).map_err(|e| unknown(e.to_string()))?;
     if !configuration.serves_calls(&name) {
-        return Err(unknown(format!("no endpoints serve {name}")));
+        return Err(unknown(format!("service {name} has no endpoints")));
     }
     let body = String::from_utf8(req.body.to_vec())
         .map_err(|e| ApiError::not_run(ErrorCode::BadJson, format!("body: {e}")))?;
@@ -131,28 +132,28 @@
         content_type: content_type.unwrap_or("application/octet-stream").to_owned(),
         body,
     };
-    let job = read_job(&configuration, &req.headers, name, now)?;
+    let job = parse_job(&configuration, &req.headers, name, now)?;
     shared.admit_account(&configuration, &job)?;
-    let (tx, mut rx) = mpsc::channel(PARTS);
+    let (tx, mut rx) = mpsc::channel(PART_BUFFER);
     tokio::spawn(service_task::run(Arc::clone(shared), job, call, tx));
-    match rx.recv().await.unwrap_or_else(|| Err(vanished()))? {
-        Part::Whole { status, content_type, body } => Ok(raw_reply(status, &content_type, body)),
-        Part::Token(_) | Part::Restart | Part::End => Err(vanished()),
+    match rx.recv().await.unwrap_or_else(|| Err(task_ended()))? {
+        Part::Service { status, content_type, body } => Ok(raw_reply(status, &content_type, body)),
+        Part::Token(_) | Part::Restart | Part::End => Err(task_ended()),
     }
 }
 
-/// How the answer to a prompt is put.
+/// Format of the answer to a prompt.
 #[derive(Clone, Debug)]
-struct Shape {
+struct ResponseFormat {
     id: String,
     model: String,
     chat: bool,
     stream: bool,
 }
 
-impl Shape {
-    fn of(prompt: &PromptJob) -> Shape {
-        Shape {
+impl ResponseFormat {
+    fn of(prompt: &PromptJob) -> ResponseFormat {
+        ResponseFormat {
             id: prompt.job.key.to_string(),
             model: prompt.job.service.to_string(),
             chat: prompt.chat,
@@ -188,16 +189,18 @@
     format!("data: {value}\n\n").into()
 }
 
-/// Streams the answer as server-sent events. An error after the first token is sent as an event.
-fn stream_tokens(shape: Shape, first: Part, mut rx: Parts) -> Response {
-    let (tx, body) = mpsc::channel(PARTS);
+/// Streams the answer as server-sent events. An error after the first part is sent as an event.
+fn stream_tokens(format: ResponseFormat, first: Part, mut rx: Parts) -> Response {
+    let (tx, body) = mpsc::channel(PART_BUFFER);
     tokio::spawn(async move {
         let mut next: Option<Result<Part, ApiError>> = Some(Ok(first));
         while let Some(part) = next {
             let (event, is_last) = match part {
-                Ok(Part::Token(text)) => (sse(&shape.chunk(&text, None)), false),
-                Ok(Part::End) => (sse(&shape.chunk("", Some("stop"))), true),
-                Ok(Part::Whole { .. } | Part::Restart) => (sse(&json!(vanished().body())), true),
+                Ok(Part::Token(text)) => (sse(&format.chunk(&text, None)), false),
+                Ok(Part::End) => (sse(&format.chunk("", Some("stop"))), true),
+                Ok(Part::Service { .. } | Part::Restart) => {
+                    (sse(&json!(task_ended().body())), true)
+                }
                 Err(e) => (sse(&json!(e.body())), true),
             };
             if tx.send(event).await.is_err() {
@@ -207,18 +210,22 @@
                 tx.send(Bytes::from_static(SSE_END)).await.ok();
                 return;
             }
-            // A caller that goes away between two tokens is noticed at once.
+            // Detects a caller that disconnects between two tokens.
             next = tokio::select! {
                 part = rx.recv() => part,
                 () = tx.closed() => return,
             };
         }
-        tx.send(sse(&json!(vanished().body()))).await.ok();
+        tx.send(sse(&json!(task_ended().body()))).await.ok();
     });
     stream_reply(body, SSE)
 }
 
-async fn collect_tokens(shape: &Shape, first: Part, mut rx: Parts) -> Result<Response, ApiError> {
+async fn collect_tokens(
+    format: &ResponseFormat,
+    first: Part,
+    mut rx: Parts,
+) -> Result<Response, ApiError> {
     let mut text = String::new();
     let mut tokens = 0_u64;
     let mut next = Ok(first);
@@ -233,18 +240,18 @@
                 tokens = 0;
             }
             Part::End => {
-                let mut value = shape.chunk(&text, Some("stop"));
+                let mut value = format.chunk(&text, Some("stop"));
                 value["usage"] = json!({"completion_tokens": tokens});
                 return Ok(text_reply(200, JSON, value.to_string()));
             }
-            Part::Whole { .. } => return Err(vanished()),
+            Part::Service { .. } => return Err(task_ended()),
         }
-        next = rx.recv().await.unwrap_or_else(|| Err(vanished()));
+        next = rx.recv().await.unwrap_or_else(|| Err(task_ended()));
     }
 }
 
-/// The error for a request whose task ended without an answer: a fault of this program.
-fn vanished() -> ApiError {
+/// The error for a request whose task ended without an answer, which is a bug in the entry.
+fn task_ended() -> ApiError {
     ApiError {
         code: ErrorCode::Internal,
         run: RunState::OutcomeUnknown,
@@ -267,9 +274,10 @@
 }
 
 fn raw_reply(status: u16, content_type: &str, body: Bytes) -> Response {
-    let made = HttpResponse::builder()
+    let response = HttpResponse::builder()
         .status(status)
         .header("content-type", content_type)
         .body(Vec::from(body).into());
-    made.unwrap_or_else(|_| Response::new("bad status or content type".into()))
+    response
+        .unwrap_or_else(|_| Response::new("invalid status or content type in the answer".into()))
 }
--- a/crates/bulrushusher_entry/src/configuration.rs
+++ b/crates/bulrushusher_entry/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force at this entry, and the loops that keep it so.
+//! The configuration in force at this entry, and the task that keeps it up to date.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,23 +16,24 @@
 use crate::LOG;
 use crate::entry::Shared;
 
-const STORE_PAUSE: Duration = Duration::from_millis(250);
+/// Pause before the next call to the store, after a failure or while the store is empty.
+const STORE_RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// A snapshot of the store, with what requests ask of it.
+/// A snapshot of the store, with the lookups that requests need.
 #[derive(Debug, Default)]
 pub(crate) struct Configuration {
     pub(crate) snapshot: Snapshot,
-    /// When this entry learned the present endpoint list of each service.
-    pub(crate) lists_learned: BTreeMap<ServiceName, Millis>,
+    /// When this entry received the present endpoint list of each service.
+    pub(crate) lists_received_at: BTreeMap<ServiceName, Millis>,
 }
 
 impl Configuration {
-    /// True when the service is a model with a prefill pool and a decode pool.
+    /// True if the service is a model with a prefill pool and a decode pool.
     pub(crate) fn serves_prompts(&self, service: &ServiceName) -> bool {
         self.has_role(service, Role::Prefill) && self.has_role(service, Role::Decode)
     }
 
-    /// True when the service is a plain one.
+    /// True if the service is a plain service.
     pub(crate) fn serves_calls(&self, service: &ServiceName) -> bool {
         self.has_role(service, Role::Service)
     }
@@ -41,7 +42,7 @@
         self.snapshot.endpoints().any(|(_, e)| e.service == *service && e.role == role)
     }
 
-    /// The endpoint list of a service, as far as running keys goes.
+    /// The endpoints of a service that may execute keys, as needed for settlements.
     pub(crate) fn list_view(
         &self,
         service: &ServiceName,
@@ -49,14 +50,14 @@
         horizon: Millis,
     ) -> ListView {
         let ServiceList { revision, executors, departed, .. } = self.list(service, now, horizon);
-        let learned = self.lists_learned.get(service).copied().unwrap_or_default();
-        ListView { revision, executors, departed, learned }
+        let received_at = self.lists_received_at.get(service).copied().unwrap_or_default();
+        ListView { revision, executors, departed, learned: received_at }
     }
 
     fn list(&self, service: &ServiceName, now: Millis, horizon: Millis) -> ServiceList {
-        let runs = |e: &&Endpoint| matches!(e.role, Role::Decode | Role::Service);
+        let is_executor = |e: &&Endpoint| matches!(e.role, Role::Decode | Role::Service);
         let names = |endpoints: Vec<&Endpoint>| {
-            endpoints.into_iter().filter(runs).map(|e| e.name.clone()).collect()
+            endpoints.into_iter().filter(is_executor).map(|e| e.name.clone()).collect()
         };
         let ListRevision { revision, previous } = self.snapshot.list_revision(service);
         ServiceList {
@@ -78,20 +79,20 @@
         all.filter(|endpoint| endpoint.service == *service).collect()
     }
 
-    /// Endpoints of a service, present and departed: all that must know its list.
-    pub(crate) fn known(
+    /// The endpoints whose agents receive the list of a service: present and departed ones.
+    pub(crate) fn list_recipients(
         &self,
         service: &ServiceName,
         now: Millis,
         horizon: Millis,
     ) -> Vec<&Endpoint> {
-        let mut known = self.present(service);
-        known.extend(self.departed(service, now, horizon));
-        known
+        let mut recipients = self.present(service);
+        recipients.extend(self.departed(service, now, horizon));
+        recipients
     }
 
-    /// What the agents of a service must know of its list.
-    pub(crate) fn push(
+    /// The endpoint list update for the agents of a service.
+    pub(crate) fn list_update(
         &self,
         service: &ServiceName,
         now: Millis,
@@ -106,14 +107,14 @@
         }
     }
 
-    /// An endpoint of that name, present or departed.
+    /// The endpoint of that name, present or departed.
     pub(crate) fn known_endpoint(&self, name: &EndpointName) -> Option<Endpoint> {
         self.snapshot
             .endpoint_including_removed(name.as_str())
             .map(|(_, endpoint)| endpoint.clone())
     }
 
-    /// A class by name, of a closing that is open for the service.
+    /// The class of that name in a closing of the service that is open at `now`.
     pub(crate) fn class(
         &self,
         service: &ServiceName,
@@ -125,7 +126,8 @@
         open.find_map(|closing| closing.class(name)).cloned()
     }
 
-    /// The class of requests that name none: somebody may wait, and it may not run twice.
+    /// The class of requests that name none. It assumes that a user is waiting and that the request
+    /// is not idempotent.
     pub(crate) fn default_class() -> DeliverableClass {
         const TTFT: Millis = Millis(600);
         const PER_TOKEN: Millis = Millis(71);
@@ -145,9 +147,9 @@
     }
 }
 
-/// Applies objects; true when something changed.
-pub(crate) fn apply(shared: &Shared, objects: &[StoredObject]) -> bool {
-    let _one_at_a_time = shared.configuring.lock();
+/// Applies stored objects to the configuration; returns true if it changed.
+pub(crate) fn apply_objects(shared: &Shared, objects: &[StoredObject]) -> bool {
+    let _guard = shared.configuration_lock.lock();
     let held = shared.configuration.load_full();
     let mut snapshot = held.snapshot.clone();
     let mut in_order: Vec<&StoredObject> = objects.iter().collect();
@@ -156,22 +158,22 @@
     for object in in_order {
         match snapshot.apply(object) {
             Ok(applied) => changed += usize::from(applied),
-            Err(e) => log::error!("{LOG} {} is not valid and was left out: {e}", object.key),
+            Err(e) => log::error!("{LOG} {} is invalid and was not applied: {e}", object.key),
         }
     }
     if changed == 0 {
         return false;
     }
     if changed > 1 {
-        // The lists in between were never in force here; others may have seen them.
+        // The intermediate lists were never in force here, but may have been at other processes.
         snapshot.reset_previous_revisions();
     }
     let now = shared.clock.now();
-    let mut lists_learned = held.lists_learned.clone();
+    let mut lists_received_at = held.lists_received_at.clone();
     let mut list_changed = false;
     for (service, list) in snapshot.list_revisions() {
         if list.revision > held.snapshot.list_revision(service).revision {
-            lists_learned.insert(service.clone(), now);
+            lists_received_at.insert(service.clone(), now);
             list_changed = true;
         }
     }
@@ -180,33 +182,34 @@
         shared.table.lock().set_endpoints(endpoints);
         shared.list_changed.notify_one();
     }
-    log::info!("{LOG} configuration of revision {} is in force", snapshot.revision);
-    shared.configuration.store(Arc::new(Configuration { snapshot, lists_learned }));
+    log::info!("{LOG} configuration revision {} is in force", snapshot.revision);
+    shared.configuration.store(Arc::new(Configuration { snapshot, lists_received_at }));
     true
 }
 
-/// Follows the store for as long as the entry lives. The store being down changes nothing.
-pub(crate) async fn store_loop(shared: Arc<Shared>) {
+/// Follows the store until the task is aborted. The configuration in force stays while the store is
+/// unavailable.
+pub(crate) async fn watch_store(shared: Arc<Shared>) {
     let mut after = 0;
     let mut was_up = true;
     loop {
-        let heard = match after {
+        let result = match after {
             0 => shared.store.list().await.map(|(_, objects)| objects),
             after => shared.store.watch(after).await,
         };
-        let is_up = heard.is_ok();
+        let is_up = result.is_ok();
         shared.set_store_up(is_up);
-        match heard {
+        match result {
             Ok(objects) => {
                 after = objects.iter().map(|object| object.revision).fold(after, u64::max);
-                apply(&shared, &objects);
+                apply_objects(&shared, &objects);
             }
             Err(e) if was_up => log::warn!("{LOG} configuration stays as it is: {e}"),
             Err(_) => {}
         }
         was_up = is_up;
         if !is_up || after == 0 {
-            tokio::time::sleep(STORE_PAUSE).await;
+            tokio::time::sleep(STORE_RETRY_PAUSE).await;
         }
     }
 }
--- a/crates/bulrushusher_entry/src/entry.rs
+++ b/crates/bulrushusher_entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! The entry's shared state, start and shutdown.
+//! The state shared by the entry's tasks, startup and shutdown.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,27 +27,29 @@
 use crate::guards::Streams;
 use crate::operator::OperatorService;
 use crate::request::Job;
-use crate::{EntryConfig, LOG, agent_view, api};
+use crate::{EntryConfig, LOG, agent_sync, api};
 
-/// When to come back to an entry that shuts down or is full: another one is behind the balancer.
-const ELSEWHERE: Millis = Millis(1_000);
-const DRAIN_TICK: Millis = Millis(20);
+/// Retry delay sent by an entry that is full or shutting down. The load balancer can route the
+/// retry to another entry.
+const OTHER_ENTRY_RETRY_AFTER: Millis = Millis(1_000);
+const DRAIN_POLL_INTERVAL: Millis = Millis(20);
 
-/// What the entry's tasks share.
+/// State shared by the entry's tasks.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) cfg: EntryConfig,
     pub(crate) clock: Clock,
-    /// Which life of this entry; part of its ballots.
+    /// Identifies this run of the entry process; part of its ballots.
     pub(crate) incarnation: u64,
     pub(crate) table: Mutex<PairingTable>,
     pub(crate) quotas: Mutex<QuotaLimiter>,
     pub(crate) retries: Mutex<RetryBudget>,
-    /// Prompts that end the engines that run them.
+    /// Prompts that crash the engines that run them.
     pub(crate) quarantine: Mutex<Quarantine>,
     pub(crate) configuration: ArcSwap<Configuration>,
-    /// Held while the configuration is changed.
-    pub(crate) configuring: Mutex<()>,
+    /// Serializes changes of the configuration.
+    pub(crate) configuration_lock: Mutex<()>,
+    /// Notified when an endpoint list has changed.
     pub(crate) list_changed: Notify,
     pub(crate) agents: Agents,
     pub(crate) streams: Streams,
@@ -55,7 +57,7 @@
     metrics: EntryMetrics,
     store_up: AtomicBool,
     in_flight: AtomicUsize,
-    closing: AtomicBool,
+    shutting_down: AtomicBool,
     next_name: AtomicU64,
     rng: Mutex<ChaCha8Rng>,
 }
@@ -71,7 +73,7 @@
             retries: Mutex::new(RetryBudget::new(cfg.retries)),
             quarantine: Mutex::new(Quarantine::new(QuarantineConfig::default())),
             configuration: ArcSwap::default(),
-            configuring: Mutex::new(()),
+            configuration_lock: Mutex::new(()),
             list_changed: Notify::new(),
             agents: Agents::new(cfg.idle_timeout.duration()),
             streams: Streams::default(),
@@ -79,31 +81,29 @@
             metrics: EntryMetrics::new(cfg.name.as_str()),
             store_up: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
-            closing: AtomicBool::new(false),
+            shutting_down: AtomicBool::new(false),
             next_name: AtomicU64::new(1),
             rng: Mutex::new(ChaCha8Rng::seed_from_u64(cfg.pairing.seed)),
             cfg,
         }
     }
 
-    /// Refuses a request at the door when this entry is closing or full.
+    /// Refuses a request if this entry is shutting down or has too many requests in flight.
     pub(crate) fn admit(&self) -> Result<(), ApiError> {
-        if self.closing.load(Ordering::SeqCst) {
-            let message = "this entry shuts down";
-            return Err(
-                ApiError::not_run(ErrorCode::ShuttingDown, message).with_retry_after(ELSEWHERE)
-            );
+        if self.shutting_down.load(Ordering::SeqCst) {
+            let message = "this entry is shutting down";
+            return Err(ApiError::not_run(ErrorCode::ShuttingDown, message)
+                .with_retry_after(OTHER_ENTRY_RETRY_AFTER));
         }
         if self.in_flight() >= self.cfg.max_in_flight {
-            let message = "this entry has all the requests it can hold";
-            return Err(
-                ApiError::not_run(ErrorCode::Overloaded, message).with_retry_after(ELSEWHERE)
-            );
+            let message = "this entry has reached its limit of requests in flight";
+            return Err(ApiError::not_run(ErrorCode::Overloaded, message)
+                .with_retry_after(OTHER_ENTRY_RETRY_AFTER));
         }
         Ok(())
     }
 
-    /// Counts a request against its account's quota, of which this entry has a fixed part.
+    /// Charges a request to its account's quota, of which this entry grants a fixed part.
     pub(crate) fn admit_account(&self, cfg: &Configuration, job: &Job) -> Result<(), ApiError> {
         let account = job.account.as_ref().and_then(|name| cfg.account(name));
         let Some(account) = account else { return Ok(()) };
@@ -117,8 +117,8 @@
         })
     }
 
-    /// Counts a request as in flight until the guard is dropped.
-    pub(crate) fn begin(self: &Arc<Shared>) -> InFlight {
+    /// Counts a request as in flight until the returned guard is dropped.
+    pub(crate) fn track_in_flight(self: &Arc<Shared>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         self.metrics.accepted();
         InFlight(Arc::clone(self))
@@ -128,7 +128,7 @@
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    pub(crate) fn note_error(&self, job: &Job, e: &ApiError) {
+    pub(crate) fn record_error(&self, job: &Job, e: &ApiError) {
         self.metrics.refused(&e.code.to_string());
         log::info!("{LOG} {} of class {} ends with {e} ({})", job.key, job.class.name, e.run);
     }
@@ -137,8 +137,8 @@
         self.metrics.text()
     }
 
-    /// An agent told its load.
-    pub(crate) fn hear(&self, endpoint: &EndpointName, load: AgentLoad) {
+    /// Records the load that an agent reported.
+    pub(crate) fn record_load(&self, endpoint: &EndpointName, load: AgentLoad) {
         let hint = LoadHint {
             used: load.used,
             places: load.places,
@@ -150,13 +150,13 @@
         self.table.lock().update_load(endpoint, hint);
     }
 
-    /// A name that no other stream or run of any entry has.
-    pub(crate) fn unique(&self) -> String {
+    /// Returns a name that no other stream or run of any entry has.
+    pub(crate) fn unique_name(&self) -> String {
         let n = self.next_name.fetch_add(1, Ordering::Relaxed);
         format!("{}-{:x}-{n}", self.cfg.name, self.incarnation)
     }
 
-    /// An owner of ballots that no other settlement has.
+    /// Returns a ballot owner that no other settlement has.
     pub(crate) fn next_owner(&self) -> Owner {
         Owner {
             entry: self.cfg.name.clone(),
@@ -178,7 +178,7 @@
     }
 }
 
-/// Counts a request as in flight.
+/// Counts a request as in flight until it is dropped.
 pub(crate) struct InFlight(Arc<Shared>);
 
 impl Drop for InFlight {
@@ -187,70 +187,73 @@
     }
 }
 
-/// What an entry tells of itself to the one who embeds it.
+/// Status of an entry, for programs that embed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryStatus {
     /// Requests in flight.
     pub in_flight: usize,
     /// Revision of the configuration in force.
     pub revision: u64,
-    /// Whether the store answered last time.
+    /// Whether the last call to the store succeeded.
     pub store_up: bool,
 }
 
 /// A running entry. Dropping it stops listening at once; see [`Entry::shut_down`].
 #[derive(Debug)]
 pub struct Entry {
-    /// Where callers' HTTP is taken.
+    /// Bound address of the callers' HTTP API.
     pub callers: SocketAddr,
-    /// Where operators' RPC is taken.
+    /// Bound address of the operators' RPC.
     pub operators: SocketAddr,
     shared: Arc<Shared>,
-    served: HttpServer,
+    http_server: HttpServer,
     stop_operators: Option<oneshot::Sender<()>>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Entry {
-    /// Starts listening, and follows the store.
+    /// Starts the listeners, and the tasks that follow the store and the agents.
     ///
     /// # Errors
-    /// What the system says, such as "address in use".
+    /// The I/O error of a listener that cannot be opened, such as "address in use".
     pub async fn start(cfg: EntryConfig) -> std::io::Result<Entry> {
         let shared = Arc::new(Shared::new(cfg));
-        let served = serve(shared.cfg.callers, api::routes(Arc::clone(&shared)))?;
+        let http_server = serve(shared.cfg.callers, api::routes(Arc::clone(&shared)))?;
         let listener = bind(shared.cfg.operators)?;
         let operators = listener.local_addr()?;
-        let (stop_operators, stopped) = oneshot::channel::<()>();
-        let rpc = tonic::transport::Server::builder()
+        let (stop_operators, stop_requested) = oneshot::channel::<()>();
+        let rpc_server = tonic::transport::Server::builder()
             .add_service(OperatorServer::new(OperatorService::new(Arc::clone(&shared))))
             .serve_with_incoming_shutdown(TcpIncoming::from(listener), async move {
-                stopped.await.ok();
+                stop_requested.await.ok();
             });
-        let rpc = async move {
-            if let Err(e) = rpc.await {
-                log::error!("{LOG} operators' RPC stopped: {e}");
+        let rpc_task = async move {
+            if let Err(e) = rpc_server.await {
+                log::error!("{LOG} the operators' RPC server failed: {e}");
             }
         };
         let tasks = vec![
-            tokio::spawn(rpc),
-            tokio::spawn(configuration::store_loop(Arc::clone(&shared))),
-            tokio::spawn(agent_view::agent_loop(Arc::clone(&shared))),
+            tokio::spawn(rpc_task),
+            tokio::spawn(configuration::watch_store(Arc::clone(&shared))),
+            tokio::spawn(agent_sync::sync_agents(Arc::clone(&shared))),
         ];
         let name = &shared.cfg.name;
-        log::info!("{LOG} {name} takes callers on {}, operators on {operators}", served.addr);
-        let callers = served.addr;
+        log::info!(
+            "{LOG} {name} listens for callers on {}, for operators on {operators}",
+            http_server.addr
+        );
+        let callers = http_server.addr;
         Ok(Entry {
             callers,
             operators,
             shared,
-            served,
+            http_server,
             stop_operators: Some(stop_operators),
             tasks,
         })
     }
 
-    /// What the entry tells of itself.
+    /// Returns the entry's status.
     pub fn status(&self) -> EntryStatus {
         EntryStatus {
             in_flight: self.shared.in_flight(),
@@ -259,22 +262,25 @@
         }
     }
 
-    /// Accepts nothing new, lets what is in flight finish, then stops.
+    /// Stops accepting requests, waits for those in flight up to the drain timeout, and stops.
     pub async fn shut_down(mut self) {
         let name = self.shared.cfg.name.clone();
-        log::info!("{LOG} {name} shuts down, {} in flight", self.shared.in_flight());
-        self.shared.closing.store(true, Ordering::SeqCst);
+        log::info!("{LOG} {name} is shutting down, {} requests in flight", self.shared.in_flight());
+        self.shared.shutting_down.store(true, Ordering::SeqCst);
         let drain = self.shared.cfg.drain_timeout.duration();
         let shared = Arc::clone(&self.shared);
         let drained = async move {
             while shared.in_flight() > 0 {
-                tokio::time::sleep(DRAIN_TICK.duration()).await;
+                tokio::time::sleep(DRAIN_POLL_INTERVAL.duration()).await;
             }
         };
         if tokio::time::timeout(drain, drained).await.is_err() {
-            log::warn!("{LOG} the drain bound is over, {} cut off", self.shared.in_flight());
+            log::warn!(
+                "{LOG} drain timeout exceeded, {} requests aborted",
+                self.shared.in_flight()
+            );
         }
-        tokio::time::timeout(drain, self.served.stop()).await.ok();
+        tokio::time::timeout(drain, self.http_server.stop()).await.ok();
         if let Some(stop) = self.stop_operators.take() {
             stop.send(()).ok();
         }
--- a/crates/bulrushusher_entry/src/execution.rs
+++ b/crates/bulrushusher_entry/src/execution.rs
@@ -1,4 +1,5 @@
-//! The part of a request that must happen at most once: who runs the key, and what became of it.
+//! Execution of a request, at most once unless it is idempotent: assigns its key to an executor,
+//! and handles the end of each attempt.
 
 use std::sync::Arc;
 
@@ -10,50 +11,53 @@
 
 use crate::LOG;
 use crate::entry::Shared;
-use crate::guards::{HeldPlace, OpenStream};
-use crate::request::{Job, mint_key};
+use crate::guards::{OpenStream, ReservedSlot};
+use crate::request::{Job, generate_key};
 use crate::run_stream::{Part, PartSender, RunReader, StreamEnd};
-use crate::settle::{self, answer_gone, unknown};
+use crate::settle::{self, answer_gone, outcome_unknown};
 
-/// How long a key that was given to another executor may take to begin there before it is barred.
-const BEGIN_WAIT: Millis = Millis(4_000);
-/// One wait at an agent for a key to begin.
+/// How long a key that is assigned to another executor may take to start there before it is barred.
+const START_TIMEOUT: Millis = Millis(4_000);
+/// How long one attach call waits at the agent for the key to start.
 const ATTACH_WAIT: Millis = Millis(1_000);
 
-/// An engine that ends before a run has passed on more tokens than these may have ended on it. Engines
-/// end on what they cannot bear with its first token or two; few runs are as young at any moment.
-const CRASH_TOKENS: u32 = 4;
+/// If the engine ends before a run has sent more tokens than this, the run may have crashed it.
+/// Prompts that crash engines do so within the first token or two, and few runs are that young at
+/// any moment.
+const CRASH_WINDOW_TOKENS: u32 = 4;
 
 /// Whether a request needs another attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Step {
-    /// It is answered, or its caller is gone.
+pub(crate) enum NextStep {
+    /// The request is answered, or its caller has disconnected.
     Done,
-    /// It certainly did not run, or may run again: try again.
-    Again,
+    /// The request certainly did not run, or is idempotent: make another attempt.
+    Retry,
 }
 
-/// Who may run the key, and at which ballot.
+/// The endpoint that may execute the key, and at which ballot.
 #[derive(Clone, Debug)]
 struct Assignment {
     ballot: Ballot,
     executor: EndpointName,
 }
 
-/// One request's way to its answer.
+/// State of one request across its attempts.
 pub(crate) struct Execution<'a> {
     pub(crate) shared: &'a Arc<Shared>,
     pub(crate) job: Job,
     tx: &'a PartSender,
-    /// True when the caller sees nothing before the answer is whole, so that it may start again.
+    /// True if the caller receives nothing before the answer is complete, so that a further attempt
+    /// may start it over.
     restartable: bool,
-    /// What is asked for, where it is a prompt.
+    /// Digest of the request, if it is a prompt.
     pub(crate) prompt: Option<RequestDigest>,
-    passed: u32,
+    /// Tokens sent to the caller's HTTP task so far.
+    tokens_sent: u32,
     assignment: Option<Assignment>,
-    /// A ballot that was cleared for any one executor not yet chosen.
-    cleared: Option<Ballot>,
-    /// True once an earlier attempt may have run, so that "not run" must not be told any more.
+    /// A ballot at which any one executor, not chosen yet, may execute the key.
+    open_ballot: Option<Ballot>,
+    /// True once an earlier attempt may have run. No error may then be reported as "not run".
     may_have_run: bool,
 }
 
@@ -70,15 +74,16 @@
             tx,
             restartable,
             prompt: None,
-            passed: 0,
+            tokens_sent: 0,
             assignment: None,
-            cleared: None,
+            open_ballot: None,
             may_have_run: false,
         }
     }
 
-    /// An error as the caller may be told it: what may have run is not told as "not run".
-    pub(crate) fn told(&self, e: ApiError) -> ApiError {
+    /// Corrects the run state of an error for the caller: "not run" becomes "outcome unknown" if an
+    /// earlier attempt may have run.
+    pub(crate) fn caller_error(&self, e: ApiError) -> ApiError {
         match e.run {
             RunState::NotRun if self.may_have_run => {
                 ApiError { run: RunState::OutcomeUnknown, ..e }
@@ -87,27 +92,28 @@
         }
     }
 
-    /// The only endpoint that may run the key now, if it was given to one.
-    pub(crate) fn only(&self) -> Option<EndpointName> {
+    /// The endpoint that the key is assigned to, if any; no other one may execute it.
+    pub(crate) fn assigned_executor(&self) -> Option<EndpointName> {
         self.assignment.as_ref().map(|assignment| assignment.executor.clone())
     }
 
-    /// The endpoint that must not run the key: its home.
+    /// The home of a shared key, which must not execute it.
     pub(crate) fn home(&self) -> Option<EndpointName> {
         if !self.job.shared_key {
             return None;
         }
-        settle::view(self.shared, &self.job).home(&self.job.key).cloned()
+        settle::list_view(self.shared, &self.job).home(&self.job.key).cloned()
     }
 
-    /// True when the key will run at the ballot of its home, so that its executor must vouch for it.
-    pub(crate) fn wants_vouching(&self) -> bool {
-        self.cleared.is_none()
+    /// True if the key will be executed at the ballot of its home. The executor's records must then
+    /// cover the key.
+    pub(crate) fn needs_coverage(&self) -> bool {
+        self.open_ballot.is_none()
             && self.assignment.as_ref().is_none_or(|held| held.ballot == Ballot::Home)
     }
 
-    /// Makes sure that `executor` may run the key; when the key is another's, the answer is taken
-    /// from there.
+    /// Assigns the key to `executor`. If it is assigned to another endpoint already, reads the
+    /// answer from that one.
     pub(crate) async fn assign(&mut self, executor: &EndpointName) -> Result<Assigned, ApiError> {
         if !self.job.shared_key {
             return Ok(Assigned::Run(Ballot::Home));
@@ -115,68 +121,73 @@
         if let Some(held) = &self.assignment {
             return Ok(Assigned::Run(held.ballot.clone()));
         }
-        let settled = match self.cleared.take() {
+        let settled = match self.open_ballot.take() {
             Some(ballot) => Settled::Run(ballot),
             None => settle::claim(self.shared, &self.job, executor).await?,
         };
         match settled {
             Settled::Run(ballot) => {
-                let (held, executor) = (ballot.clone(), executor.clone());
-                self.assignment = Some(Assignment { ballot: held, executor });
+                let assignment = Assignment { ballot: ballot.clone(), executor: executor.clone() };
+                self.assignment = Some(assignment);
                 Ok(Assigned::Run(ballot))
             }
             Settled::Attach { executor, ran } => {
-                self.take_from(&executor, ran).await.map(Assigned::Elsewhere)
+                self.read_from(&executor, ran).await.map(Assigned::HandledElsewhere)
             }
-            Settled::Failed(_) => Err(unknown("the key was not settled")),
+            Settled::Failed(_) => Err(outcome_unknown("the key was not settled")),
         }
     }
 
-    /// The assigned executor cannot be had any more: bar the key.
-    pub(crate) async fn reassign(&mut self) -> Result<Step, ApiError> {
+    /// Bars the key because its assigned executor is not available.
+    pub(crate) async fn reassign(&mut self) -> Result<NextStep, ApiError> {
         let above = self.assignment.take().map_or(Ballot::Home, |held| held.ballot);
         self.bar(above).await
     }
 
-    /// No executor vouches for the key: a new one is as good where nobody else knows it, and a
-    /// shared one is barred.
-    pub(crate) async fn in_doubt(&mut self) -> Result<Step, ApiError> {
+    /// Handles a key that no executor's records cover: replaces a private key, which no other
+    /// request uses, and bars a shared one.
+    pub(crate) async fn handle_uncovered_key(&mut self) -> Result<NextStep, ApiError> {
         if self.job.shared_key {
             return self.bar(Ballot::Home).await;
         }
-        self.job.key = mint_key()?;
-        Ok(Step::Again)
+        self.job.key = generate_key()?;
+        Ok(NextStep::Retry)
     }
 
-    async fn bar(&mut self, above: Ballot) -> Result<Step, ApiError> {
+    async fn bar(&mut self, above: Ballot) -> Result<NextStep, ApiError> {
         self.assignment = None;
-        self.cleared = None;
+        self.open_ballot = None;
         match settle::bar(self.shared, &self.job, above).await? {
             Settled::Run(ballot) => {
-                // An idempotent key is cleared also where it may have run before.
+                // An idempotent key gets a ballot even if it may have run before.
                 self.may_have_run |= self.job.is_idempotent();
-                self.cleared = Some(ballot);
-                Ok(Step::Again)
+                self.open_ballot = Some(ballot);
+                Ok(NextStep::Retry)
             }
-            Settled::Attach { executor, ran } => Box::pin(self.take_from(&executor, ran)).await,
-            Settled::Failed(_) => Err(unknown("the key was not settled")),
+            Settled::Attach { executor, ran } => Box::pin(self.read_from(&executor, ran)).await,
+            Settled::Failed(_) => Err(outcome_unknown("the key was not settled")),
         }
     }
 
-    /// Takes the answer from the executor that the key belongs to.
-    async fn take_from(&mut self, executor: &EndpointName, ran: bool) -> Result<Step, ApiError> {
+    /// Reads the answer from the executor that the key is assigned to. `ran` is true if the key is
+    /// known to have started there.
+    async fn read_from(
+        &mut self,
+        executor: &EndpointName,
+        ran: bool,
+    ) -> Result<NextStep, ApiError> {
         let Some(endpoint) = self.shared.configuration.load().known_endpoint(executor) else {
             return self.bar(Ballot::Home).await;
         };
-        let until = self.shared.clock.now().plus(BEGIN_WAIT);
+        let until = self.shared.clock.now().plus(START_TIMEOUT);
         loop {
             let mut open = OpenStream::new(self.shared, &endpoint, &self.job.key);
             let mut reader = self.reader(&endpoint);
             let end = reader.attach(&mut open, ATTACH_WAIT).await;
-            self.passed = reader.passed;
-            let not_here = matches!(end, StreamEnd::NotTaken(OrderRejection::NotHere { .. }));
+            self.tokens_sent = reader.tokens_sent;
+            let not_here = matches!(end, StreamEnd::Rejected(OrderRejection::NotHere { .. }));
             if not_here && ran {
-                return Err(unknown("the endpoint that ran it has forgotten it"));
+                return Err(outcome_unknown("the endpoint that ran it has lost its records"));
             }
             if not_here && self.shared.clock.now() < until {
                 continue;
@@ -184,50 +195,51 @@
             if not_here || (matches!(end, StreamEnd::Lost) && !ran) {
                 return self.bar(Ballot::Home).await;
             }
-            return self.conclude(end, &Ballot::Home).await;
+            return self.handle_stream_end(end, &Ballot::Home).await;
         }
     }
 
-    /// Orders the work at the place held, and reads its answer.
-    pub(crate) async fn order(
+    /// Sends the order for a reserved slot, and reads its answer.
+    pub(crate) async fn send_order(
         &mut self,
-        place: &mut HeldPlace,
+        slot: &mut ReservedSlot,
         ballot: Ballot,
         work: Work,
-    ) -> Result<Step, ApiError> {
-        let endpoint = place.chosen.endpoint.clone();
+    ) -> Result<NextStep, ApiError> {
+        let endpoint = slot.chosen.endpoint.clone();
         let mut open = OpenStream::new(self.shared, &endpoint, &self.job.key);
         let order = RunOrder {
-            reservation: place.reserved.id,
-            incarnation: place.reserved.incarnation,
+            reservation: slot.reservation.id,
+            incarnation: slot.reservation.incarnation,
             key: self.job.key.clone(),
             shared_key: self.job.shared_key,
             ballot: ballot.clone(),
             stream: open.name.clone(),
             work,
         };
-        place.ordered();
-        let before =
+        slot.mark_order_sent();
+        let crashes_before =
             self.prompt.map_or(0, |prompt| self.shared.quarantine.lock().crash_count(prompt));
-        let passed_before = self.passed;
+        let sent_before = self.tokens_sent;
         let mut reader = self.reader(&endpoint);
         let end = reader.run(&order, &mut open).await;
-        self.passed = reader.passed;
+        self.tokens_sent = reader.tokens_sent;
         match &end {
-            StreamEnd::EngineEnded if self.passed <= passed_before + CRASH_TOKENS => {
-                self.note_crash(&endpoint, before);
+            StreamEnd::EngineEnded if self.tokens_sent <= sent_before + CRASH_WINDOW_TOKENS => {
+                self.record_crash(&endpoint, crashes_before);
             }
-            StreamEnd::Whole => self.note_answer(),
+            StreamEnd::Complete => self.record_answer(),
             _ => {}
         }
-        self.conclude(end, &ballot).await
+        self.handle_stream_end(end, &ballot).await
     }
 
-    /// An engine ended just after it had begun the prompt, which had ended `before` others by then.
-    fn note_crash(&self, endpoint: &Endpoint, before: u32) {
+    /// Records that an engine ended shortly after it had started the prompt. `crashes_before` is
+    /// the crash count of the prompt when the order was sent.
+    fn record_crash(&self, endpoint: &Endpoint, crashes_before: u32) {
         let Some(prompt) = self.prompt else { return };
         let now = self.shared.clock.now();
-        let verdict = self.shared.quarantine.lock().record_crash(prompt, before, now);
+        let verdict = self.shared.quarantine.lock().record_crash(prompt, crashes_before, now);
         log::warn!(
             "{LOG} the engine of {} ended on {} digest={prompt}: {verdict:?}",
             endpoint.name,
@@ -235,18 +247,18 @@
         );
     }
 
-    /// Refuses a prompt that ended the engines that ran it.
+    /// Refuses a prompt in quarantine, because it crashed the engines that ran it.
     pub(crate) fn refuse_quarantined(&self) -> Result<(), ApiError> {
         let Some(prompt) = self.prompt else { return Ok(()) };
         let now = self.shared.clock.now();
-        let Some(left) = self.shared.quarantine.lock().remaining(prompt, now) else {
+        let Some(remaining) = self.shared.quarantine.lock().remaining(prompt, now) else {
             return Ok(());
         };
-        let message = "engines ended on this prompt each time it was run";
-        Err(ApiError::not_run(ErrorCode::Quarantined, message).with_retry_after(left))
+        let message = "this prompt is in quarantine because engines crashed each time they ran it";
+        Err(ApiError::not_run(ErrorCode::Quarantined, message).with_retry_after(remaining))
     }
 
-    fn note_answer(&self) {
+    fn record_answer(&self) {
         if let Some(prompt) = self.prompt {
             self.shared.quarantine.lock().record_answer(prompt);
         }
@@ -258,66 +270,72 @@
             endpoint,
             key: &self.job.key,
             tx: self.tx,
-            passed: self.passed,
+            tokens_sent: self.tokens_sent,
             incarnation: None,
         }
     }
 
-    /// What the end of a stream means for the request.
-    async fn conclude(&mut self, end: StreamEnd, ballot: &Ballot) -> Result<Step, ApiError> {
+    /// Decides from the end of a stream whether the request is done, fails or is retried.
+    async fn handle_stream_end(
+        &mut self,
+        end: StreamEnd,
+        ballot: &Ballot,
+    ) -> Result<NextStep, ApiError> {
         match end {
-            StreamEnd::Whole | StreamEnd::CallerGone => Ok(Step::Done),
-            StreamEnd::NothingRan | StreamEnd::NotTaken(OrderRejection::Refused { .. }) => {
-                Ok(Step::Again)
+            StreamEnd::Complete | StreamEnd::CallerGone => Ok(NextStep::Done),
+            StreamEnd::NotExecuted | StreamEnd::Rejected(OrderRejection::Refused { .. }) => {
+                Ok(NextStep::Retry)
             }
-            StreamEnd::NotTaken(OrderRejection::Barred { ballot: held }) => {
-                Box::pin(self.bar(held.max(ballot.clone()))).await
+            StreamEnd::Rejected(OrderRejection::Barred { ballot: promised }) => {
+                Box::pin(self.bar(promised.max(ballot.clone()))).await
             }
-            StreamEnd::NotTaken(OrderRejection::InDoubt) if self.job.shared_key => {
+            StreamEnd::Rejected(OrderRejection::InDoubt) if self.job.shared_key => {
                 Box::pin(self.bar(ballot.clone())).await
             }
-            StreamEnd::NotTaken(OrderRejection::InDoubt | OrderRejection::TooOld)
+            StreamEnd::Rejected(OrderRejection::InDoubt | OrderRejection::TooOld)
                 if !self.job.shared_key =>
             {
-                Box::pin(self.in_doubt()).await
+                Box::pin(self.handle_uncovered_key()).await
             }
-            StreamEnd::NotTaken(OrderRejection::TooOld) => Err(settle::too_old()),
-            StreamEnd::NotTaken(OrderRejection::RanWithoutAnswer { ran }) => {
-                self.lost(Some(ran)).await
+            StreamEnd::Rejected(OrderRejection::TooOld) => Err(settle::key_too_old()),
+            StreamEnd::Rejected(OrderRejection::RanWithoutAnswer { ran }) => {
+                self.handle_lost_answer(Some(ran)).await
             }
-            StreamEnd::Failed(ran) => self.lost(Some(ran)).await,
-            StreamEnd::EngineEnded => self.lost(Some(RunStatus::Failed)).await,
-            StreamEnd::NotTaken(OrderRejection::NotHere { .. } | OrderRejection::InDoubt)
-            | StreamEnd::Lost => self.lost(None).await,
+            StreamEnd::Failed(ran) => self.handle_lost_answer(Some(ran)).await,
+            StreamEnd::EngineEnded => self.handle_lost_answer(Some(RunStatus::Failed)).await,
+            StreamEnd::Rejected(OrderRejection::NotHere { .. } | OrderRejection::InDoubt)
+            | StreamEnd::Lost => self.handle_lost_answer(None).await,
         }
     }
 
-    /// It ran, or may have run, and there is no answer: an idempotent request starts again where
-    /// its caller has seen nothing yet.
-    async fn lost(&mut self, ran: Option<RunStatus>) -> Result<Step, ApiError> {
-        let unseen = self.passed == 0 || self.restartable;
-        if !self.job.is_idempotent() || !unseen {
-            return Err(ran.map_or_else(|| unknown("its endpoint is gone"), answer_gone));
+    /// Handles a run without a complete answer; `ran` is its status, if known. An idempotent
+    /// request is retried unless its caller has received a part of the answer.
+    async fn handle_lost_answer(&mut self, ran: Option<RunStatus>) -> Result<NextStep, ApiError> {
+        let can_restart = self.tokens_sent == 0 || self.restartable;
+        if !self.job.is_idempotent() || !can_restart {
+            return Err(
+                ran.map_or_else(|| outcome_unknown("its endpoint is unreachable"), answer_gone)
+            );
         }
         self.may_have_run = true;
-        if self.passed > 0 {
+        if self.tokens_sent > 0 {
             self.tx.send(Ok(Part::Restart)).await.ok();
-            self.passed = 0;
+            self.tokens_sent = 0;
         }
         if self.job.shared_key {
             let above = self.assignment.take().map_or(Ballot::Home, |held| held.ballot);
             return Box::pin(self.bar(above)).await;
         }
-        self.job.key = mint_key()?;
-        Ok(Step::Again)
+        self.job.key = generate_key()?;
+        Ok(NextStep::Retry)
     }
 }
 
-/// What became of asking for the right to run a key.
+/// Result of assigning a key to an executor.
 #[derive(Debug)]
 pub(crate) enum Assigned {
-    /// The executor may run it, at this ballot.
+    /// The executor may execute it, at this ballot.
     Run(Ballot),
-    /// It was another's.
-    Elsewhere(Step),
+    /// The key was assigned to another endpoint; reading the answer from there led to this step.
+    HandledElsewhere(NextStep),
 }
--- a/crates/bulrushusher_entry/src/lib.rs
+++ b/crates/bulrushusher_entry/src/lib.rs
@@ -1,13 +1,14 @@
-//! The entry: callers' HTTP, operators' RPC, choice of runners.
+//! The entry: serves the callers' HTTP API and the operators' RPC, and routes requests to runners.
 //!
-//! A caller's request is checked ([`request`]), placed and run ([`prompt_task`], [`service_task`])
-//! and answered ([`api`]). What the agents do for it goes through [`agents`]; what must hold for a
-//! key that others may send too is settled by [`settle`]. Configuration comes from the platform's
-//! store ([`configuration`]), where operators put it ([`operator`]).
+//! A caller's request is validated ([`request`]), assigned to runners and executed
+//! ([`prompt_task`], [`service_task`]), and answered ([`api`]). All calls to agents go through
+//! [`agents`]. [`settle`] guarantees that a key which several requests may use is executed at most
+//! once. Operators write the configuration to the platform's store ([`operator`]), and every entry
+//! reads it from there ([`configuration`]).
 //!
-//! Lock order: `table` before `limits` before `retries`; none is held across an await.
+//! Lock order: `table` before `quotas` before `retries`; none is held across an await.
 
-mod agent_view;
+mod agent_sync;
 mod agents;
 mod api;
 mod config;
@@ -16,9 +17,9 @@
 mod execution;
 mod guards;
 mod operator;
-mod place;
 mod prompt_task;
 mod request;
+mod reservation;
 mod run_stream;
 mod service_task;
 mod settle;
@@ -27,5 +28,5 @@
 pub use entry::{Entry, EntryStatus};
 pub use request::{ACCOUNT_HEADER, CLASS_HEADER, DEADLINE_HEADER, KEY_HEADER};
 
-/// Prefix of every log line of this part.
+/// Prefix of the log lines of this crate.
 pub(crate) const LOG: &str = "entry:";
--- a/crates/bulrushusher_entry/src/main.rs
+++ b/crates/bulrushusher_entry/src/main.rs
@@ -1,4 +1,4 @@
-//! `bulrush-entry`: takes callers' requests and operators' calls.
+//! `bulrush-entry`: serves the callers' HTTP API and the operators' RPC.
 
 use bulrushusher_config::init_logs;
 use bulrushusher_entry::{Entry, EntryConfig, PROGRAM};
--- a/crates/bulrushusher_entry/src/operator.rs
+++ b/crates/bulrushusher_entry/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators' RPC, served by every entry. What is accepted is in the store before the answer goes.
+//! The operators' RPC, served by every entry. A change is acknowledged once it is in the store.
 
 use std::sync::Arc;
 
@@ -9,12 +9,12 @@
 use tonic::{Request, Response, Status};
 
 use crate::LOG;
-use crate::configuration::apply;
+use crate::configuration::apply_objects;
 use crate::entry::Shared;
 
 type Reply<T> = Result<Response<T>, Status>;
 
-/// Serves the operators' calls.
+/// Implements the operators' RPC.
 #[derive(Debug)]
 pub(crate) struct OperatorService {
     shared: Arc<Shared>,
@@ -25,7 +25,7 @@
         OperatorService { shared }
     }
 
-    /// Writes an object at the expected version and brings it into force here.
+    /// Writes an object to the store if its version is `expected_version`, and applies it here.
     async fn put<T: Serialize>(
         &self,
         kind: ObjectKind,
@@ -35,13 +35,13 @@
     ) -> Reply<v1::PutReply> {
         let value = serde_json::to_value(value).map_err(|e| Status::internal(e.to_string()))?;
         let key = kind.key(name);
-        let mark = self.shared.unique();
+        let mark = self.shared.unique_name();
         let put = self.shared.store.put(&key, expected_version, &mark, &value).await;
         match put.map_err(store_status)? {
             PutOutcome::Done(object) => {
                 let reply = v1::PutReply { version: object.version, revision: object.revision };
-                log::info!("{LOG} {key} is accepted at version {}", object.version);
-                apply(&self.shared, &[object]);
+                log::info!("{LOG} {key} written at version {}", object.version);
+                apply_objects(&self.shared, &[object]);
                 Ok(Response::new(reply))
             }
             PutOutcome::Conflict(held) => Err(conflict(&key, held.as_ref())),
@@ -50,7 +50,9 @@
 
     async fn delete(&self, kind: ObjectKind, req: v1::DeleteRequest) -> Reply<v1::PutReply> {
         if req.expected_version == 0 {
-            return Err(Status::invalid_argument("expected_version is 0; give the version seen"));
+            return Err(Status::invalid_argument(
+                "expected_version is 0; give the current version",
+            ));
         }
         self.put(kind, &req.name, req.expected_version, &serde_json::Value::Null).await
     }
@@ -68,10 +70,12 @@
 fn conflict(key: &str, held: Option<&StoredObject>) -> Status {
     match held {
         Some(object) => Status::aborted(format!(
-            "{key} has version {}, written by {}; read it and try again",
+            "{key} has version {}, written by {}; read it again and retry",
             object.version, object.mark
         )),
-        None => Status::aborted(format!("{key} is not there; give expected_version 0 to create")),
+        None => {
+            Status::aborted(format!("{key} does not exist; give expected_version 0 to create it"))
+        }
     }
 }
 
@@ -80,11 +84,13 @@
 }
 
 fn not_found(kind: ObjectKind, name: &str) -> Status {
-    Status::not_found(format!("{kind} {name} is not there; list them to see the names"))
+    Status::not_found(format!(
+        "{kind} {name} does not exist; list the objects of this kind to see their names"
+    ))
 }
 
 fn missing(field: &str) -> Status {
-    Status::invalid_argument(format!("{field} is missing; give it"))
+    Status::invalid_argument(format!("{field} is missing from the request; set it"))
 }
 
 #[tonic::async_trait]
@@ -120,7 +126,7 @@
         let endpoint = req.endpoint.ok_or_else(|| missing("endpoint"))?;
         let endpoint = convert::endpoint_from(endpoint).map_err(invalid)?;
         let name = endpoint.name.as_str();
-        // A name that was taken out can be created again.
+        // The name of a removed endpoint can be created again.
         let cfg = self.shared.configuration.load_full();
         let expected_version = match cfg.snapshot.endpoint_including_removed(name) {
             Some((version, held)) if held.removed.is_some() && req.expected_version == 0 => version,
@@ -144,8 +150,8 @@
         Ok(Response::new(v1::ListEndpointsReply { endpoints: endpoints.collect() }))
     }
 
-    /// Takes an endpoint out of the list. Its object stays, marked as removed: keys that it ran may
-    /// be sent again.
+    /// Removes an endpoint from its list. Its object is kept and marked as removed, because callers
+    /// may retry keys that it executed.
     async fn delete_endpoint(&self, req: Request<v1::DeleteRequest>) -> Reply<v1::PutReply> {
         let req = req.into_inner();
         let cfg = self.shared.configuration.load_full();
--- a/crates/bulrushusher_entry/src/prompt_task.rs
+++ b/crates/bulrushusher_entry/src/prompt_task.rs
@@ -1,4 +1,5 @@
-//! A prompt's way: a prefill place, a decode place, the prefill, the decode.
+//! The task that executes a prompt: it reserves a prefill slot and a decode slot, then runs the
+//! prefill and the decode.
 
 use std::sync::Arc;
 
@@ -10,47 +11,51 @@
 
 use crate::LOG;
 use crate::entry::Shared;
-use crate::execution::{Assigned, Execution, Step};
-use crate::guards::HeldPlace;
-use crate::place::{self, NoPlace, Want};
+use crate::execution::{Assigned, Execution, NextStep};
+use crate::guards::ReservedSlot;
 use crate::request::{Job, PromptJob};
+use crate::reservation::{ReservationError, SlotCriteria, first_slot_wait_until, reserve_slot};
 use crate::run_stream::{PartSender, supervise};
 
-/// Bytes of a prompt in one block of the prefix index.
+/// Size of a prompt block in the prefix index.
 const BLOCK_BYTES: usize = 1_024;
-/// How long a prefill result may wait for a decode place when none was held before.
-const RESULT_WAIT: Millis = Millis(600);
-/// Pause before another attempt.
-const ATTEMPT_PAUSE: Millis = Millis(20);
+/// How long a prefill result may wait for a decode slot if none was reserved before the prefill.
+const DECODE_SLOT_WAIT: Millis = Millis(600);
+/// Pause between two attempts.
+const RETRY_PAUSE: Millis = Millis(20);
 
-/// Chained hashes of the whole blocks of a prompt: block `n`'s covers blocks 0 to `n`.
-fn blocks(prompt: &str) -> Vec<u64> {
-    let mut chain = 0;
-    let whole = prompt.as_bytes().chunks_exact(BLOCK_BYTES);
-    whole
+/// Chained hashes of the complete blocks of a prompt; the hash of block `n` covers blocks 0 to `n`.
+fn block_hashes(prompt: &str) -> Vec<u64> {
+    let mut hash = 0;
+    let complete = prompt.as_bytes().chunks_exact(BLOCK_BYTES);
+    complete
         .map(|block| {
-            chain = xxh3_64_with_seed(block, chain);
-            chain
+            hash = xxh3_64_with_seed(block, hash);
+            hash
         })
         .collect()
 }
 
-/// Runs a prompt and sends its answer, or its error, to `tx`.
+/// Executes a prompt and sends its answer or error to `tx`.
 pub(crate) async fn run(shared: Arc<Shared>, prompt: PromptJob, tx: PartSender) {
-    let work = answer(&shared, &prompt, &tx);
+    let work = execute(&shared, &prompt, &tx);
     supervise(Arc::clone(&shared), prompt.job.clone(), tx.clone(), work).await;
 }
 
-async fn answer(shared: &Arc<Shared>, prompt: &PromptJob, tx: &PartSender) -> Result<(), ApiError> {
-    let blocks = blocks(&prompt.prompt);
+async fn execute(
+    shared: &Arc<Shared>,
+    prompt: &PromptJob,
+    tx: &PartSender,
+) -> Result<(), ApiError> {
+    let blocks = block_hashes(&prompt.prompt);
     let mut execution = Execution::new(shared, prompt.job.clone(), tx, !prompt.stream);
     execution.prompt = Some(prompt.digest());
     shared.retries.lock().earn();
-    let tried = attempts(shared, prompt, &blocks, &mut execution).await;
-    tried.map_err(|e| execution.told(e))
+    let result = run_attempts(shared, prompt, &blocks, &mut execution).await;
+    result.map_err(|e| execution.caller_error(e))
 }
 
-async fn attempts(
+async fn run_attempts(
     shared: &Arc<Shared>,
     prompt: &PromptJob,
     blocks: &[u64],
@@ -59,118 +64,121 @@
     loop {
         execution.job.time_left(shared.clock.now())?;
         execution.refuse_quarantined()?;
-        if attempt(shared, prompt, blocks, execution).await? == Step::Done {
+        if run_attempt(shared, prompt, blocks, execution).await? == NextStep::Done {
             return Ok(());
         }
-        spend_retry(shared, &execution.job)?;
-        tokio::time::sleep(ATTEMPT_PAUSE.duration()).await;
+        take_retry(shared, &execution.job)?;
+        tokio::time::sleep(RETRY_PAUSE.duration()).await;
     }
 }
 
-/// Takes a retry from the budget. Patient requests are never dropped for want of one.
-pub(crate) fn spend_retry(shared: &Shared, job: &Job) -> Result<(), ApiError> {
-    const COME_BACK: Millis = Millis(1_000);
+/// Takes a retry from the retry budget. Patient requests may retry even if it is used up.
+pub(crate) fn take_retry(shared: &Shared, job: &Job) -> Result<(), ApiError> {
+    const RETRY_AFTER: Millis = Millis(1_000);
     let has_budget = shared.retries.lock().take();
     if has_budget || job.class.patience == Patience::Patient {
         return Ok(());
     }
-    let message = "endpoints keep failing and the retry budget is used up";
-    Err(ApiError::not_run(ErrorCode::Overloaded, message).with_retry_after(COME_BACK))
+    let message = "attempts keep failing and the retry budget is used up";
+    Err(ApiError::not_run(ErrorCode::Overloaded, message).with_retry_after(RETRY_AFTER))
 }
 
-async fn attempt(
+async fn run_attempt(
     shared: &Arc<Shared>,
     prompt: &PromptJob,
     blocks: &[u64],
     execution: &mut Execution<'_>,
-) -> Result<Step, ApiError> {
+) -> Result<NextStep, ApiError> {
     let job = execution.job.clone();
-    let until = place::give_up_at(&job);
+    let wait_until = first_slot_wait_until(&job);
     let home = execution.home();
-    let want = Want {
+    let criteria = SlotCriteria {
         role: Role::Prefill,
         job: &job,
         blocks,
         home: None,
-        only: None,
-        vouched: false,
-        until,
+        assigned: None,
+        needs_coverage: false,
+        wait_until,
     };
-    let mut prefill = place::get(shared, want).await.map_err(NoPlace::into_error)?;
+    let mut prefill = reserve_slot(shared, criteria).await.map_err(ReservationError::into_error)?;
     let decode_first = shared.cfg.pairing.policy.reserves_decode_first();
 
-    let only = execution.only();
-    let want = Want {
+    let assigned = execution.assigned_executor();
+    let criteria = SlotCriteria {
         role: Role::Decode,
         home: home.as_ref(),
-        only: only.as_ref(),
-        vouched: execution.wants_vouching(),
-        ..want
+        assigned: assigned.as_ref(),
+        needs_coverage: execution.needs_coverage(),
+        ..criteria
     };
     let mut decode = None;
     if decode_first || job.shared_key {
-        // The prefill place is held for some time only; give it back before it lapses.
-        let held = Millis(prefill.reserved.time_to_live.0 / 2);
-        let until = until.min(shared.clock.now().plus(held));
-        match place::get(shared, Want { until, ..want }).await {
-            Ok(place) => decode = Some(place),
-            Err(NoPlace::OnlyGone) => return execution.reassign().await,
-            Err(NoPlace::NoneVouches) => return execution.in_doubt().await,
-            Err(NoPlace::Busy { .. }) => return Ok(Step::Again),
+        // At most half the time to live of the prefill reservation, so that it is used or
+        // released before it expires.
+        let max_wait = Millis(prefill.reservation.time_to_live.0 / 2);
+        let wait_until = wait_until.min(shared.clock.now().plus(max_wait));
+        match reserve_slot(shared, SlotCriteria { wait_until, ..criteria }).await {
+            Ok(slot) => decode = Some(slot),
+            Err(ReservationError::ExecutorUnavailable) => return execution.reassign().await,
+            Err(ReservationError::KeyNotCovered) => return execution.handle_uncovered_key().await,
+            Err(ReservationError::Busy { .. }) => return Ok(NextStep::Retry),
             Err(e) => return Err(e.into_error()),
         }
     }
     let ballot = match &decode {
         None => bulrushusher_once::Ballot::Home,
-        Some(place) => match execution.assign(&place.chosen.endpoint.name).await? {
+        Some(slot) => match execution.assign(&slot.chosen.endpoint.name).await? {
             Assigned::Run(ballot) => ballot,
-            Assigned::Elsewhere(step) => return Ok(step),
+            Assigned::HandledElsewhere(next) => return Ok(next),
         },
     };
-    let Some((kv, _result)) = compute(shared, prompt, &execution.job, &mut prefill).await else {
-        return Ok(Step::Again);
+    let Some((kv, _stream)) = prefill_prompt(shared, prompt, &execution.job, &mut prefill).await
+    else {
+        return Ok(NextStep::Retry);
     };
     shared.table.lock().record_prefill(&prefill.chosen, blocks);
     let mut decode = match decode {
-        Some(place) => place,
+        Some(slot) => slot,
         None => {
-            let until = shared.clock.now().plus(RESULT_WAIT);
-            match place::get(shared, Want { until, ..want }).await {
-                Ok(place) => place,
-                Err(_) => return Ok(Step::Again),
+            let wait_until = shared.clock.now().plus(DECODE_SLOT_WAIT);
+            match reserve_slot(shared, SlotCriteria { wait_until, ..criteria }).await {
+                Ok(slot) => slot,
+                Err(_) => return Ok(NextStep::Retry),
             }
         }
     };
     let work = Work::Decode(DecodeRun { kv, max_tokens: prompt.max_tokens });
-    execution.order(&mut decode, ballot, work).await
+    execution.send_order(&mut decode, ballot, work).await
 }
 
-/// Computes the prompt. The result is held for as long as the returned stream is.
-async fn compute(
+/// Runs the prefill of a prompt; `None` if it failed. The KV cache is held as long as the returned
+/// stream is open.
+async fn prefill_prompt(
     shared: &Arc<Shared>,
     prompt: &PromptJob,
     job: &Job,
-    place: &mut HeldPlace,
+    slot: &mut ReservedSlot,
 ) -> Option<(KvHandle, LineStream)> {
     let order = PrefillRun {
-        reservation: place.reserved.id,
+        reservation: slot.reservation.id,
         key: job.key.clone(),
-        run: shared.unique(),
+        run: shared.unique_name(),
         prompt: prompt.prompt.clone(),
     };
-    place.ordered();
-    let endpoint = &place.chosen.endpoint;
-    match read_result(shared, endpoint, &order).await {
+    slot.mark_order_sent();
+    let endpoint = &slot.chosen.endpoint;
+    match read_prefill_result(shared, endpoint, &order).await {
         Ok(Some(result)) => Some(result),
         Ok(None) => None,
         Err(e) => {
-            log::info!("{LOG} prefill at {} failed, it is done again: {e}", endpoint.name);
+            log::info!("{LOG} prefill at {} failed, retrying: {e}", endpoint.name);
             None
         }
     }
 }
 
-async fn read_result(
+async fn read_prefill_result(
     shared: &Shared,
     endpoint: &bulrushusher_world::Endpoint,
     order: &PrefillRun,
@@ -181,7 +189,10 @@
             Frame::Beat => {}
             Frame::Prefilled { kv, .. } => return Ok(Some((kv, stream))),
             other => {
-                log::info!("{LOG} prefill at {} was not done: {other:?}", endpoint.name);
+                log::info!(
+                    "{LOG} prefill at {} was rejected or failed, retrying: {other:?}",
+                    endpoint.name
+                );
                 return Ok(None);
             }
         }
--- a/crates/bulrushusher_entry/src/request.rs
+++ b/crates/bulrushusher_entry/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and checked. Nothing is reserved anywhere before this has passed.
+//! Parsing and validation of callers' requests, before any resource is reserved for them.
 
 use bulrushusher_routing::RequestDigest;
 use bulrushusher_time::Millis;
@@ -18,62 +18,63 @@
 pub const CLASS_HEADER: &str = "x-bulrush-class";
 /// Header with the client account.
 pub const ACCOUNT_HEADER: &str = "x-bulrush-account";
-/// Header with the longest time to the whole answer, in milliseconds.
+/// Header with the time within which the request must be fully answered, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-bulrush-deadline-ms";
 
-/// Tokens generated when the caller does not say.
+/// Value of `max_tokens` if the caller sets none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
-/// The most tokens a caller may ask for.
-const MAX_MAX_TOKENS: u32 = 65_536;
+/// Largest `max_tokens` that a caller may set.
+const MAX_TOKENS_LIMIT: u32 = 65_536;
 
-/// What every request has in common.
+/// Attributes common to all requests.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
-    /// Its key.
+    /// Its idempotency key.
     pub(crate) key: RequestKey,
-    /// True when the caller chose the key, so that others may send it too.
+    /// True if the caller chose the key, so that other requests may use it too.
     pub(crate) shared_key: bool,
-    /// Its class.
+    /// Its deliverable class.
     pub(crate) class: DeliverableClass,
-    /// The account that sent it.
+    /// The client account that it is charged to.
     pub(crate) account: Option<ClientAccountName>,
-    /// The service that serves it.
+    /// The service or model that it is for.
     pub(crate) service: ServiceName,
-    /// When it came.
+    /// When the entry received it.
     pub(crate) arrived: Millis,
-    /// When it must have been answered.
+    /// When its answer must be complete.
     pub(crate) deadline: Millis,
 }
 
 impl Job {
-    /// Time left, or the error of a request whose time is over before it ran.
+    /// Time until the deadline; an error if it has passed and the request has not run.
     pub(crate) fn time_left(&self, now: Millis) -> Result<Millis, ApiError> {
         match self.deadline.since(now) {
             Millis(0) => Err(ApiError::not_run(
                 ErrorCode::Deadline,
-                "the deadline came before the request could run",
+                "the deadline passed before the request could run",
             )
             .with_retry_after(Millis(1_000))),
-            left => Ok(left),
+            remaining => Ok(remaining),
         }
     }
 
-    /// True when it may run again after it may have run.
+    /// True if it may run again after a run whose outcome is unknown.
     pub(crate) fn is_idempotent(&self) -> bool {
         self.class.repeat == Repeat::Idempotent
     }
 
-    /// The time from now within which its work should start to meet its target; 0 when that is
+    /// Time from now within which its work must start to meet its latency target; 0 if it is
     /// missed.
     pub(crate) fn start_within(&self, now: Millis) -> Millis {
-        /// Share of the target that may be spent waiting, in percent; the rest is for the work.
-        const WAIT_PERCENT: u64 = 80;
-        let wait = self.class.ttft.0.saturating_mul(WAIT_PERCENT) / 100;
-        self.arrived.plus(Millis(wait)).since(now)
+        /// Share of the target available for queueing; the rest is for the work.
+        const QUEUEING_PERCENT: u64 = 80;
+        let max_queueing = self.class.ttft.0.saturating_mul(QUEUEING_PERCENT) / 100;
+        self.arrived.plus(Millis(max_queueing)).since(now)
     }
 
-    /// The time from now within which its work should start when its target is missed: the later
-    /// half of its deadline is kept for what is served late, so that nothing patient starves.
+    /// Time from now within which its work should start if its target is missed: halfway between
+    /// arrival and deadline. The second half is reserved for late work, so that patient requests
+    /// do not starve.
     pub(crate) fn late_within(&self, now: Millis) -> Millis {
         let half = Millis(self.deadline.since(self.arrived).0 / 2);
         self.arrived.plus(half).since(now)
@@ -91,7 +92,7 @@
 }
 
 impl PromptJob {
-    /// What is asked for, and by whom: the same each time it is sent, whatever its key.
+    /// Identifies the prompt and its sender: equal for every retry, also under a new key.
     pub(crate) fn digest(&self) -> RequestDigest {
         let account = self.job.account.as_ref().map_or("", |account| account.as_str());
         RequestDigest::of([
@@ -131,8 +132,8 @@
     ApiError::not_run(ErrorCode::BadJson, e.to_string())
 }
 
-/// Reads a body of `/v1/completions` or `/v1/chat/completions`.
-pub(crate) fn read_prompt(
+/// Parses a body of `/v1/completions` or `/v1/chat/completions`.
+pub(crate) fn parse_prompt(
     cfg: &Configuration,
     headers: &HeaderMap,
     body: &[u8],
@@ -148,48 +149,56 @@
         (body.model, body.prompt, body.max_tokens, body.stream)
     };
     let max_tokens = max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
-    if max_tokens == 0 || max_tokens > MAX_MAX_TOKENS {
-        let message = format!("max_tokens is {max_tokens}; give 1 to {MAX_MAX_TOKENS}");
+    if max_tokens == 0 || max_tokens > MAX_TOKENS_LIMIT {
+        let message = format!("max_tokens is {max_tokens}; give 1 to {MAX_TOKENS_LIMIT}");
         return Err(ApiError::not_run(ErrorCode::BadJson, message));
     }
     let service = ServiceName::try_from(model.as_str())
         .map_err(|e| ApiError::not_run(ErrorCode::UnknownModel, e.to_string()))?;
     if !cfg.serves_prompts(&service) {
-        let message = format!("no endpoints serve the model {service}");
+        let message = format!("model {service} has no prefill or no decode endpoints");
         return Err(ApiError::not_run(ErrorCode::UnknownModel, message));
     }
-    let job = read_job(cfg, headers, service, now)?;
+    let job = parse_job(cfg, headers, service, now)?;
     Ok(PromptJob { job, prompt, max_tokens, stream, chat })
 }
 
-/// Reads the headers of a request for `service`.
-pub(crate) fn read_job(
+/// Parses the headers of a request for `service`.
+pub(crate) fn parse_job(
     cfg: &Configuration,
     headers: &HeaderMap,
     service: ServiceName,
     now: Millis,
 ) -> Result<Job, ApiError> {
     let class = match text_header(headers, CLASS_HEADER)? {
-        Some(text) => named_class(cfg, &service, text, now)?,
+        Some(text) => find_class(cfg, &service, text, now)?,
         None => Configuration::default_class(),
     };
     let account = match text_header(headers, ACCOUNT_HEADER)? {
-        Some(text) => Some(named_account(cfg, text)?),
+        Some(text) => Some(find_account(cfg, text)?),
         None => None,
     };
     let (key, shared_key) = match text_header(headers, KEY_HEADER)? {
         Some(text) => (RequestKey::try_from(text).map_err(|e| bad_header(KEY_HEADER, e))?, true),
-        None => (mint_key()?, false),
+        None => (generate_key()?, false),
     };
-    let longest = match text_header(headers, DEADLINE_HEADER)? {
-        Some(text) => read_deadline(text)?.min(class.deadline),
+    let time_limit = match text_header(headers, DEADLINE_HEADER)? {
+        Some(text) => parse_deadline(text)?.min(class.deadline),
         None => class.deadline,
     };
-    Ok(Job { key, shared_key, class, account, service, arrived: now, deadline: now.plus(longest) })
+    Ok(Job {
+        key,
+        shared_key,
+        class,
+        account,
+        service,
+        arrived: now,
+        deadline: now.plus(time_limit),
+    })
 }
 
-/// A new key that nobody else knows.
-pub(crate) fn mint_key() -> Result<RequestKey, ApiError> {
+/// Generates a key that no other request uses.
+pub(crate) fn generate_key() -> Result<RequestKey, ApiError> {
     RequestKey::try_from(Uuid::now_v7().to_string())
         .map_err(|e| ApiError::not_run(ErrorCode::Internal, e.to_string()))
 }
@@ -203,16 +212,17 @@
     value.to_str().map(Some).map_err(|_| bad_header(name, "give visible ASCII characters"))
 }
 
-fn read_deadline(text: &str) -> Result<Millis, ApiError> {
+fn parse_deadline(text: &str) -> Result<Millis, ApiError> {
     match text.parse() {
         Ok(ms) if ms > 0 => Ok(Millis(ms)),
-        Ok(_) | Err(_) => {
-            Err(bad_header(DEADLINE_HEADER, format!("`{text}` is not a number of ms above 0")))
-        }
+        Ok(_) | Err(_) => Err(bad_header(
+            DEADLINE_HEADER,
+            format!("`{text}` is not a positive number of milliseconds"),
+        )),
     }
 }
 
-fn named_class(
+fn find_class(
     cfg: &Configuration,
     service: &ServiceName,
     text: &str,
@@ -220,12 +230,12 @@
 ) -> Result<DeliverableClass, ApiError> {
     let name = ClassName::try_from(text).map_err(|e| bad_header(CLASS_HEADER, e))?;
     cfg.class(service, &name, now).ok_or_else(|| {
-        let message = format!("no closing open for {service} has the class {name}");
+        let message = format!("no open closing of {service} has the class {name}");
         ApiError::not_run(ErrorCode::UnknownClass, message)
     })
 }
 
-fn named_account(cfg: &Configuration, text: &str) -> Result<ClientAccountName, ApiError> {
+fn find_account(cfg: &Configuration, text: &str) -> Result<ClientAccountName, ApiError> {
     let name = ClientAccountName::try_from(text).map_err(|e| bad_header(ACCOUNT_HEADER, e))?;
     match cfg.account(&name) {
         Some(_) => Ok(name),
--- a/crates/bulrushusher_entry/src/service_task.rs
+++ b/crates/bulrushusher_entry/src/service_task.rs
@@ -1,4 +1,4 @@
-//! A plain service call's way: a place, then the call.
+//! The task that executes a plain service call: it reserves a slot, then makes the call.
 
 use std::sync::Arc;
 
@@ -6,19 +6,19 @@
 use bulrushusher_world::Role;
 
 use crate::entry::Shared;
-use crate::execution::{Assigned, Execution, Step};
-use crate::place::{self, NoPlace, Want};
-use crate::prompt_task::spend_retry;
+use crate::execution::{Assigned, Execution, NextStep};
+use crate::prompt_task::take_retry;
 use crate::request::Job;
+use crate::reservation::{ReservationError, SlotCriteria, first_slot_wait_until, reserve_slot};
 use crate::run_stream::{PartSender, supervise};
 
-/// Runs a call and sends its answer, or its error, to `tx`.
+/// Executes a call and sends its answer or error to `tx`.
 pub(crate) async fn run(shared: Arc<Shared>, job: Job, call: CallOrder, tx: PartSender) {
-    let work = answer(&shared, &job, &call, &tx);
+    let work = execute(&shared, &job, &call, &tx);
     supervise(Arc::clone(&shared), job.clone(), tx.clone(), work).await;
 }
 
-async fn answer(
+async fn execute(
     shared: &Arc<Shared>,
     job: &Job,
     call: &CallOrder,
@@ -26,50 +26,50 @@
 ) -> Result<(), ApiError> {
     let mut execution = Execution::new(shared, job.clone(), tx, true);
     shared.retries.lock().earn();
-    let tried = attempts(shared, call, &mut execution).await;
-    tried.map_err(|e| execution.told(e))
+    let result = run_attempts(shared, call, &mut execution).await;
+    result.map_err(|e| execution.caller_error(e))
 }
 
-async fn attempts(
+async fn run_attempts(
     shared: &Arc<Shared>,
     call: &CallOrder,
     execution: &mut Execution<'_>,
 ) -> Result<(), ApiError> {
     loop {
         execution.job.time_left(shared.clock.now())?;
-        if attempt(shared, call, execution).await? == Step::Done {
+        if run_attempt(shared, call, execution).await? == NextStep::Done {
             return Ok(());
         }
-        spend_retry(shared, &execution.job)?;
+        take_retry(shared, &execution.job)?;
     }
 }
 
-async fn attempt(
+async fn run_attempt(
     shared: &Arc<Shared>,
     call: &CallOrder,
     execution: &mut Execution<'_>,
-) -> Result<Step, ApiError> {
+) -> Result<NextStep, ApiError> {
     let job = execution.job.clone();
-    let (home, only) = (execution.home(), execution.only());
-    let want = Want {
+    let (home, assigned) = (execution.home(), execution.assigned_executor());
+    let criteria = SlotCriteria {
         role: Role::Service,
         job: &job,
         blocks: &[],
         home: home.as_ref(),
-        only: only.as_ref(),
-        vouched: execution.wants_vouching(),
-        until: place::give_up_at(&job),
+        assigned: assigned.as_ref(),
+        needs_coverage: execution.needs_coverage(),
+        wait_until: first_slot_wait_until(&job),
     };
-    let mut place = match place::get(shared, want).await {
-        Ok(place) => place,
-        Err(NoPlace::OnlyGone) => return execution.reassign().await,
-        Err(NoPlace::NoneVouches) => return execution.in_doubt().await,
+    let mut slot = match reserve_slot(shared, criteria).await {
+        Ok(slot) => slot,
+        Err(ReservationError::ExecutorUnavailable) => return execution.reassign().await,
+        Err(ReservationError::KeyNotCovered) => return execution.handle_uncovered_key().await,
         Err(e) => return Err(e.into_error()),
     };
-    match execution.assign(&place.chosen.endpoint.name).await? {
+    match execution.assign(&slot.chosen.endpoint.name).await? {
         Assigned::Run(ballot) => {
-            execution.order(&mut place, ballot, Work::Call(call.clone())).await
+            execution.send_order(&mut slot, ballot, Work::Call(call.clone())).await
         }
-        Assigned::Elsewhere(step) => Ok(step),
+        Assigned::HandledElsewhere(next) => Ok(next),
     }
 }
--- a/crates/bulrushusher_entry/src/settle.rs
+++ b/crates/bulrushusher_entry/src/settle.rs
@@ -1,4 +1,4 @@
-//! Carries out the settlement of a key: the calls that a [`Settlement`] asks for.
+//! Makes the calls to agents that the [`Settlement`] of a key requires.
 
 use std::sync::Arc;
 
@@ -15,18 +15,18 @@
 use crate::entry::Shared;
 use crate::request::Job;
 
-/// When to come back after a key could not be settled.
-const UNSETTLED_RETRY: Millis = Millis(2_000);
-/// Longest random pause between two rounds.
-const ROUND_PAUSE_MS: u64 = 200;
+/// Retry delay sent to callers if a key could not be settled.
+const UNSETTLED_RETRY_AFTER: Millis = Millis(2_000);
+/// Maximum random pause between two rounds.
+const MAX_ROUND_PAUSE_MS: u64 = 200;
 
-/// The endpoint list of a job's service as this entry holds it.
-pub(crate) fn view(shared: &Shared, job: &Job) -> ListView {
+/// The present endpoint list of a job's service.
+pub(crate) fn list_view(shared: &Shared, job: &Job) -> ListView {
     let configuration = shared.configuration.load();
     configuration.list_view(&job.service, shared.clock.now(), shared.cfg.horizon)
 }
 
-fn ask(shared: &Shared, job: &Job) -> SettleRequest {
+fn settle_request(shared: &Shared, job: &Job) -> SettleRequest {
     SettleRequest {
         key: job.key.clone(),
         idempotent: job.is_idempotent(),
@@ -35,27 +35,29 @@
     }
 }
 
-/// Asks the key's home to give the key to `executor`, and bars it when the home cannot vouch.
+/// Claims the key for `executor` at the key's home. Bars the key if the home does not reply or its
+/// records do not cover the key.
 pub(crate) async fn claim(
     shared: &Arc<Shared>,
     job: &Job,
     executor: &EndpointName,
 ) -> Result<Settled, ApiError> {
-    let settlement = Settlement::claim(ask(shared, job), view(shared, job), executor.clone());
-    drive(shared, job, settlement).await
+    let settlement =
+        Settlement::claim(settle_request(shared, job), list_view(shared, job), executor.clone());
+    run_settlement(shared, job, settlement).await
 }
 
-/// Bars the key at ballots above `above`, until the answer is clear.
+/// Bars the key with ballots above `above`, round by round until it is settled.
 pub(crate) async fn bar(
     shared: &Arc<Shared>,
     job: &Job,
     above: Ballot,
 ) -> Result<Settled, ApiError> {
-    let settlement = Settlement::bar(ask(shared, job), view(shared, job), above);
-    drive(shared, job, settlement).await
+    let settlement = Settlement::bar(settle_request(shared, job), list_view(shared, job), above);
+    run_settlement(shared, job, settlement).await
 }
 
-async fn drive(
+async fn run_settlement(
     shared: &Arc<Shared>,
     job: &Job,
     mut settlement: Settlement,
@@ -63,99 +65,101 @@
     loop {
         match settlement.action() {
             SettleAction::Claim { home, executor, revision } => {
-                let ask = ClaimRequest { key: job.key.clone(), executor, revision };
+                let req = ClaimRequest { key: job.key.clone(), executor, revision };
                 let home = shared.configuration.load().known_endpoint(&home);
                 let reply = match home {
-                    Some(home) => shared.agents.claim(&home, ask).await,
+                    Some(home) => shared.agents.claim(&home, req).await,
                     None => None,
                 };
                 settlement.record_claim_reply(reply);
             }
             SettleAction::Bar { agents, ballot, revision } => {
-                let ask = BarRequest { key: job.key.clone(), ballot, revision };
-                round(shared, &agents, &ask, &mut settlement).await;
+                let req = BarRequest { key: job.key.clone(), ballot, revision };
+                bar_round(shared, &agents, &req, &mut settlement).await;
                 log::info!(
                     "{LOG} key {} barred at {}: {:?}",
                     job.key,
-                    ask.ballot,
+                    req.ballot,
                     settlement.action()
                 );
             }
             SettleAction::Pause => {
-                let pause = shared.random_below(ROUND_PAUSE_MS);
+                let pause = shared.random_below(MAX_ROUND_PAUSE_MS);
                 tokio::time::sleep(Millis(pause).duration()).await;
-                settlement.next_round(view(shared, job));
+                settlement.next_round(list_view(shared, job));
             }
-            SettleAction::Done(Settled::Failed(why)) => return Err(unsettled(why)),
+            SettleAction::Done(Settled::Failed(why)) => return Err(settle_error(why)),
             SettleAction::Done(settled) => return Ok(settled),
         }
     }
 }
 
-/// Sends one round of bars and reports the answers until the settlement has what it needs.
-async fn round(
+/// Sends one round of bar requests and records the replies until the settlement can proceed.
+async fn bar_round(
     shared: &Arc<Shared>,
     agents: &[EndpointName],
-    ask: &BarRequest,
+    req: &BarRequest,
     settlement: &mut Settlement,
 ) {
     let configuration = shared.configuration.load_full();
-    let mut asks: FuturesUnordered<_> = agents
+    let mut calls: FuturesUnordered<_> = agents
         .iter()
         .map(|name| {
             let endpoint = configuration.known_endpoint(name);
             async move {
                 let Some(endpoint) = endpoint else { return (name, None) };
-                (name, shared.agents.bar(&endpoint, ask.clone()).await)
+                (name, shared.agents.bar(&endpoint, req.clone()).await)
             }
         })
         .collect();
-    while let Some((name, answer)) = asks.next().await {
-        let heard = answer.map(|answer| AgentBarReply {
-            reply: answer.reply,
-            home: answer.home,
-            revision: answer.revision,
+    while let Some((name, response)) = calls.next().await {
+        let reply = response.map(|response| AgentBarReply {
+            reply: response.reply,
+            home: response.home,
+            revision: response.revision,
         });
-        settlement.record_bar_reply(name, &ask.ballot, heard);
+        settlement.record_bar_reply(name, &req.ballot, reply);
         if !matches!(settlement.action(), SettleAction::Bar { .. }) {
             return;
         }
     }
 }
 
-fn unsettled(why: SettleFailure) -> ApiError {
+fn settle_error(why: SettleFailure) -> ApiError {
     match why {
-        SettleFailure::TooOld => too_old(),
+        SettleFailure::TooOld => key_too_old(),
         SettleFailure::RanWithoutAnswer(ran) => answer_gone(ran),
-        SettleFailure::Unknown => unknown("an endpoint that may have run it is gone"),
-        SettleFailure::TableFull => unknown("a table of keys is full"),
-        SettleFailure::Contended => unknown("others want the same key"),
+        SettleFailure::Unknown => outcome_unknown(
+            "an endpoint that may have run it is unreachable or has incomplete records",
+        ),
+        SettleFailure::TableFull => outcome_unknown("an agent's table of keys is full"),
+        SettleFailure::Contended => outcome_unknown("other settlements of the key took precedence"),
     }
 }
 
-/// The error for a key older than the retry horizon. This attempt did not run it; whether an
-/// earlier one did is not known any more.
-pub(crate) fn too_old() -> ApiError {
-    let message = "the key is older than the time in which a key may be sent again";
+/// The error for a key that is older than the retry horizon. This attempt did not run it, but the
+/// records that would show an earlier run may have expired.
+pub(crate) fn key_too_old() -> ApiError {
+    let message = "the key is older than the retry horizon";
     ApiError { run: RunState::OutcomeUnknown, ..ApiError::not_run(ErrorCode::KeyTooOld, message) }
 }
 
-/// The error for a key that ran and whose answer cannot be had.
+/// The error for a key that ran and whose answer is not available.
 pub(crate) fn answer_gone(ran: RunStatus) -> ApiError {
     ApiError {
         code: ErrorCode::AnswerGone,
         run: RunState::Ran,
-        message: format!("the request ran once ({ran}) and its answer cannot be had"),
+        message: format!("the request ran once ({ran}) and its answer is not available"),
         retry_after: None,
     }
 }
 
 /// The error for a key that may have run.
-pub(crate) fn unknown(why: &str) -> ApiError {
+pub(crate) fn outcome_unknown(why: &str) -> ApiError {
     ApiError {
         code: ErrorCode::OutcomeUnknown,
         run: RunState::OutcomeUnknown,
-        message: format!("whether the request ran cannot be told now: {why}"),
-        retry_after: Some(UNSETTLED_RETRY),
+        message: format!("it is not known whether the request ran: {why}"),
+        retry_after: Some(UNSETTLED_RETRY_AFTER),
     }
 }
