--- a/crates/bulrushusher_agent/src/config.rs
+++ b/crates/bulrushusher_agent/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of the agent.
+//! Settings and configuration of the agent.
 
 use std::net::SocketAddr;
 
@@ -10,19 +10,37 @@
 const SETTINGS: &[Setting] = &[
     setting("agent", "name", Kind::Text, None, "Name of the endpoint."),
     setting("agent", "service", Kind::Text, None, "Service that the endpoint belongs to."),
-    setting("agent", "role", Kind::Choice(&["prefill", "decode", "service"]), None, "Its role."),
-    setting("agent", "data_centre", Kind::Text, None, "Data centre it stands in."),
-    setting("agent", "control", Kind::Address, None, "Where control calls are taken."),
-    setting("agent", "stream", Kind::Address, None, "Where streams are taken."),
+    setting(
+        "agent",
+        "role",
+        Kind::Choice(&["prefill", "decode", "service"]),
+        None,
+        "Role of the endpoint.",
+    ),
+    setting("agent", "data_centre", Kind::Text, None, "Data centre of the endpoint."),
+    setting("agent", "control", Kind::Address, None, "Listen address of the control calls."),
+    setting("agent", "stream", Kind::Address, None, "Listen address of the streams."),
     setting("agent", "target", Kind::Address, None, "Address of the engine or plain service."),
-    setting("gate", "places", Kind::Count(1, 10_000), Some("20"), "Requests in work at once."),
-    setting("gate", "queue", Kind::Count(0, 100_000), Some("512"), "Requests that may wait."),
+    setting(
+        "gate",
+        "places",
+        Kind::Count(1, 10_000),
+        Some("20"),
+        "Number of slots: requests that may be in flight.",
+    ),
+    setting(
+        "gate",
+        "queue",
+        Kind::Count(0, 100_000),
+        Some("512"),
+        "Maximum requests queued for a slot.",
+    ),
     setting(
         "gate",
         "time_to_live_ms",
         Kind::Millis(10, 60_000),
         Some("2000"),
-        "How long a grant waits for its order.",
+        "Time within which the order for a granted reservation must arrive.",
     ),
     setting(
         "records",
@@ -36,95 +54,101 @@
         "skew_ms",
         Kind::Millis(0, 60_000),
         Some("500"),
-        "Largest difference between two clocks.",
+        "Maximum clock skew between two processes.",
+    ),
+    setting(
+        "records",
+        "keys",
+        Kind::Count(16, 10_000_000),
+        Some("100000"),
+        "Maximum keys on record.",
     ),
-    setting("records", "keys", Kind::Count(16, 10_000_000), Some("100000"), "Keys on record."),
     setting(
         "records",
         "answer_bytes",
         Kind::Count(1_024, 4_294_967_296),
         Some("33554432"),
-        "Bytes of finished answers kept for retries.",
+        "Maximum total size of finished answers kept for retries, in bytes.",
     ),
     setting(
         "streams",
         "beat_ms",
         Kind::Millis(10, 10_000),
         Some("300"),
-        "How often an idle stream sends a heartbeat.",
+        "Interval of heartbeats on an idle stream.",
     ),
     setting(
         "streams",
         "silent_ms",
         Kind::Millis(50, 60_000),
         Some("1500"),
-        "Silence of the engine after which the connection is replaced.",
+        "Time without data from the engine after which its connection is replaced.",
     ),
     setting(
         "streams",
         "orphan_ms",
         Kind::Millis(50, 60_000),
         Some("10000"),
-        "How long a run goes on with no entry known to read it.",
+        "How long a run continues while no entry is known to read it.",
     ),
     setting(
         "streams",
         "drain_ms",
         Kind::Millis(0, 3_600_000),
         Some("120000"),
-        "How long a graceful shutdown waits for what is in flight.",
+        "How long a graceful shutdown waits for requests in flight.",
     ),
 ];
 
 /// The agent's command line.
 pub const PROGRAM: Program = Program {
     name: "bulrush-agent",
-    about: "Runs beside one endpoint and is the only gate to its engine or plain service",
+    about: "Runs next to one endpoint and controls all access to its engine or plain service",
     settings: SETTINGS,
 };
 
-/// Checked settings of an agent.
+/// Configuration of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentConfig {
     /// Name of the endpoint.
     pub name: EndpointName,
     /// Service that the endpoint belongs to.
     pub service: ServiceName,
-    /// Its role.
+    /// Role of the endpoint.
     pub role: Role,
-    /// Data centre it stands in.
+    /// Data centre of the endpoint.
     pub data_centre: DataCentreName,
-    /// Where control calls are taken.
+    /// Listen address of the control calls.
     pub control: SocketAddr,
-    /// Where streams are taken.
+    /// Listen address of the streams.
     pub stream: SocketAddr,
     /// Address of the engine or plain service.
     pub target: SocketAddr,
-    /// Places, queue and time-to-live of grants.
+    /// Slots, queue length and time to live of reservations.
     pub admission: AdmissionConfig,
     /// How long callers may retry a key.
     pub horizon: Millis,
-    /// Largest difference between two clocks.
+    /// Maximum clock skew between two processes.
     pub skew: Millis,
-    /// Keys on record.
+    /// Maximum keys on record.
     pub max_keys: usize,
-    /// Bytes of finished answers kept for retries.
+    /// Maximum total size of finished answers kept for retries.
     pub max_answer_bytes: usize,
-    /// How often an idle stream sends a heartbeat.
+    /// Interval of heartbeats on an idle stream.
     pub heartbeat_interval: Millis,
-    /// Silence of the engine after which the connection is replaced.
+    /// Time without data from the engine after which its connection is replaced.
     pub idle_timeout: Millis,
-    /// How long a run goes on with no entry known to read it.
+    /// How long a run continues while no entry is known to read it.
     pub orphan_timeout: Millis,
-    /// How long a graceful shutdown waits for what is in flight.
+    /// How long a graceful shutdown waits for requests in flight.
     pub drain_timeout: Millis,
 }
 
 impl AgentConfig {
-    /// Makes the configuration of checked settings.
+    /// Creates the configuration from validated settings.
     ///
     /// # Errors
-    /// [`ConfigError::BadValue`] for a malformed name.
+    /// [`ConfigError::BadValue`] if a name is malformed.
     pub fn from_values(values: &Values) -> Result<AgentConfig, ConfigError> {
         Ok(AgentConfig {
             name: values.checked("agent", "name")?,
--- a/crates/bulrushusher_entry/src/config.rs
+++ b/crates/bulrushusher_entry/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of the entry.
+//! Settings and configuration of the entry.
 
 use std::net::SocketAddr;
 
@@ -12,139 +12,145 @@
 
 const SETTINGS: &[Setting] = &[
     setting("entry", "name", Kind::Text, None, "Name of this entry, unique in the deployment."),
-    setting("entry", "data_centre", Kind::Text, None, "Data centre it stands in."),
-    setting("entry", "callers", Kind::Address, None, "Where callers' HTTP is taken."),
-    setting("entry", "operators", Kind::Address, None, "Where operators' RPC is taken."),
+    setting("entry", "data_centre", Kind::Text, None, "Data centre of this entry."),
+    setting("entry", "callers", Kind::Address, None, "Listen address of the callers' HTTP API."),
+    setting("entry", "operators", Kind::Address, None, "Listen address of the operators' RPC."),
     setting("entry", "store", Kind::Address, None, "Address of the platform's store."),
     setting(
         "entry",
         "max_body_bytes",
         Kind::Count(1_024, 268_435_456),
         Some("8388608"),
-        "Largest body of a request.",
+        "Maximum size of a request body, in bytes.",
     ),
     setting(
         "entry",
         "max_in_flight",
         Kind::Count(1, 1_000_000),
         Some("20000"),
-        "Requests in flight at once; more are refused.",
+        "Maximum requests in flight; further ones are refused.",
     ),
     setting(
         "entry",
         "drain_ms",
         Kind::Millis(0, 3_600_000),
         Some("120000"),
-        "How long a graceful shutdown waits for what is in flight.",
+        "How long a graceful shutdown waits for requests in flight.",
     ),
-    setting("routing", "policy", Kind::Choice(POLICIES), Some("paired"), "How runners are chosen."),
-    setting("routing", "choices", Kind::Count(1, 64), Some("4"), "Runners looked at per choice."),
+    setting("routing", "policy", Kind::Choice(POLICIES), Some("paired"), "Routing policy."),
+    setting("routing", "choices", Kind::Count(1, 64), Some("4"), "Runners sampled per decision."),
     setting(
         "routing",
         "hint_half_life_ms",
         Kind::Millis(10, 60_000),
         Some("2000"),
-        "Half-life of what was heard of a runner's load.",
+        "Half-life of a load report of a runner.",
     ),
     setting(
         "routing",
         "affinity_slack",
         Kind::Real(0.0, 100.0),
         Some("0.5"),
-        "Extra load per place at which a runner with the prefix cached is still taken.",
+        "Extra load per slot at which a runner that has the prefix cached is still preferred.",
+    ),
+    setting(
+        "routing",
+        "seed",
+        Kind::Count(0, 4_294_967_295),
+        Some("1"),
+        "Seed of the random sampling.",
     ),
-    setting("routing", "seed", Kind::Count(0, 4_294_967_295), Some("1"), "Seed of the choices."),
     setting(
         "limits",
         "entries",
         Kind::Count(1, 100_000),
         Some("1"),
-        "Entries that callers are spread over; each grants its share of an account's limit.",
+        "Entries that share the callers' traffic; each grants an equal part of an account's quota.",
     ),
     setting(
         "retries",
         "per_request",
         Kind::Real(0.0, 10.0),
         Some("0.2"),
-        "Retries earned by each first attempt.",
+        "Retries added to the retry budget by each request.",
     ),
     setting(
         "streams",
         "silent_ms",
         Kind::Millis(50, 60_000),
         Some("1500"),
-        "Silence of an agent after which the connection is replaced.",
+        "Time without data from an agent after which its connections are replaced.",
     ),
     setting(
         "streams",
         "resume_ms",
         Kind::Millis(100, 600_000),
         Some("8000"),
-        "How long a lost stream is asked for again before the run is given up as lost.",
+        "How long the entry retries to resume a broken stream before the run counts as lost.",
     ),
     setting(
         "records",
         "horizon_ms",
         Kind::Millis(1_000, 86_400_000),
         Some("600000"),
-        "How long callers may retry a key; the same as the agents'.",
+        "How long callers may retry a key; must equal the agents' setting.",
     ),
     setting(
         "records",
         "skew_ms",
         Kind::Millis(0, 60_000),
         Some("500"),
-        "Largest difference between two clocks; the same as the agents'.",
+        "Maximum clock skew between two processes; must equal the agents' setting.",
     ),
 ];
 
 /// The entry's command line.
 pub const PROGRAM: Program = Program {
     name: "bulrush-entry",
-    about: "Takes callers' requests and operators' calls, and chooses runners",
+    about: "Serves the callers' API and the operators' RPC, and routes requests to runners",
     settings: SETTINGS,
 };
 
-/// Checked settings of an entry.
+/// Configuration of an entry.
 #[derive(Clone, Debug)]
 pub struct EntryConfig {
-    /// Name of this entry.
+    /// Name of this entry, unique in the deployment.
     pub name: EntryName,
-    /// Data centre it stands in.
+    /// Data centre of this entry.
     pub data_centre: DataCentreName,
-    /// Where callers' HTTP is taken.
+    /// Listen address of the callers' HTTP API.
     pub callers: SocketAddr,
-    /// Where operators' RPC is taken.
+    /// Listen address of the operators' RPC.
     pub operators: SocketAddr,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body.
     pub max_body_bytes: usize,
-    /// Requests in flight at once.
+    /// Maximum requests in flight; further ones are refused.
     pub max_in_flight: usize,
-    /// How long a graceful shutdown waits for what is in flight.
+    /// How long a graceful shutdown waits for requests in flight.
     pub drain_timeout: Millis,
-    /// How runners are chosen.
+    /// Routing policy and its parameters.
     pub pairing: PairingConfig,
-    /// How accounts' quotas are split.
+    /// How the entries share the quotas of client accounts.
     pub quotas: QuotaConfig,
-    /// How many retries there may be.
+    /// Limits of the retry budget.
     pub retries: RetryConfig,
-    /// Silence of an agent after which the connection is replaced.
+    /// Time without data from an agent after which its connections are replaced.
     pub idle_timeout: Millis,
-    /// How long a lost stream is asked for again.
+    /// How long the entry retries to resume a broken stream before the run counts as lost.
     pub resume_timeout: Millis,
     /// How long callers may retry a key.
     pub horizon: Millis,
-    /// Largest difference between two clocks.
+    /// Maximum clock skew between two processes.
     pub skew: Millis,
 }
 
 impl EntryConfig {
-    /// Makes the configuration of checked settings.
+    /// Creates the configuration from validated settings.
     ///
     /// # Errors
-    /// [`ConfigError::BadValue`] for a malformed name.
+    /// [`ConfigError::BadValue`] if a name is malformed.
     pub fn from_values(values: &Values) -> Result<EntryConfig, ConfigError> {
         let policy: Policy = values.checked("routing", "policy")?;
         Ok(EntryConfig {
@@ -177,15 +183,16 @@
     }
 }
 
-/// Accounts that one entry tracks; more than there are to design for.
-const MOST_ACCOUNTS: usize = 20_000;
+/// Client accounts that one entry tracks; above the number that the router is designed for.
+const MAX_ACCOUNTS: usize = 20_000;
 
-/// Quotas of which each of so many entries grants its part, to the unit.
+/// Quota configuration for a fixed number of `entries`: each grants an equal part of every quota,
+/// without overage and without usage reports.
 pub fn split_evenly(entries: u32) -> QuotaConfig {
     QuotaConfig {
         sharing: Sharing::Fixed(entries),
         overage: 0.0,
-        max_accounts: MOST_ACCOUNTS,
+        max_accounts: MAX_ACCOUNTS,
         ..QuotaConfig::default()
     }
 }
