--- a/crates/bulrushusher_entry/tests/cli.rs
+++ b/crates/bulrushusher_entry/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: settings are checked before anything starts.
+//! Tests of the command line: settings are validated before the program starts.
 
 use std::process::{Command, Output};
 
@@ -7,19 +7,19 @@
 
 fn check(file: &std::path::Path) -> Output {
     let mut command = Command::new(PROGRAM);
-    command.args(["--check-config", "--config"]).arg(file).output().expect("it starts")
+    command.args(["--check-config", "--config"]).arg(file).output().expect("the program starts")
 }
 
 #[test]
-fn the_sample_settings_are_good() {
+fn the_sample_settings_are_valid() {
     let output = check(SAMPLE.as_ref());
     assert_eq!(output.status.code(), Some(0), "{output:?}");
 }
 
 #[test]
-fn a_bad_setting_is_named_with_its_remedy() {
+fn an_invalid_setting_is_reported_with_its_remedy() {
     let file = std::env::temp_dir().join(format!("bulrush-entry-{}.ini", std::process::id()));
-    let sample = std::fs::read_to_string(SAMPLE).expect("the sample is there");
+    let sample = std::fs::read_to_string(SAMPLE).expect("the sample file exists");
     std::fs::write(&file, sample + "\n[routing]\npolicy = best\n").expect("the file is written");
     let output = check(&file);
     std::fs::remove_file(&file).expect("the file is removed");
