--- a/crates/bulrushusher_entry/src/configuration.rs
+++ b/crates/bulrushusher_entry/src/configuration.rs
@@ -150,8 +150,8 @@
 /// Applies stored objects to the configuration; returns true if it changed.
 pub(crate) fn apply_objects(shared: &Shared, objects: &[StoredObject]) -> bool {
     let _guard = shared.configuration_lock.lock();
-    let held = shared.configuration.load_full();
-    let mut snapshot = held.snapshot.clone();
+    let current = shared.configuration.load_full();
+    let mut snapshot = current.snapshot.clone();
     let mut in_order: Vec<&StoredObject> = objects.iter().collect();
     in_order.sort_by_key(|object| object.revision);
     let mut changed = 0;
@@ -169,10 +169,10 @@
         snapshot.reset_previous_revisions();
     }
     let now = shared.clock.now();
-    let mut lists_received_at = held.lists_received_at.clone();
+    let mut lists_received_at = current.lists_received_at.clone();
     let mut list_changed = false;
     for (service, list) in snapshot.list_revisions() {
-        if list.revision > held.snapshot.list_revision(service).revision {
+        if list.revision > current.snapshot.list_revision(service).revision {
             lists_received_at.insert(service.clone(), now);
             list_changed = true;
         }
--- a/crates/bulrushusher_entry/src/execution.rs
+++ b/crates/bulrushusher_entry/src/execution.rs
@@ -109,7 +109,7 @@
     /// cover the key.
     pub(crate) fn needs_coverage(&self) -> bool {
         self.open_ballot.is_none()
-            && self.assignment.as_ref().is_none_or(|held| held.ballot == Ballot::Home)
+            && self.assignment.as_ref().is_none_or(|assignment| assignment.ballot == Ballot::Home)
     }
 
     /// Assigns the key to `executor`. If it is assigned to another endpoint already, reads the
@@ -118,8 +118,8 @@
         if !self.job.shared_key {
             return Ok(Assigned::Run(Ballot::Home));
         }
-        if let Some(held) = &self.assignment {
-            return Ok(Assigned::Run(held.ballot.clone()));
+        if let Some(assignment) = &self.assignment {
+            return Ok(Assigned::Run(assignment.ballot.clone()));
         }
         let settled = match self.open_ballot.take() {
             Some(ballot) => Settled::Run(ballot),
@@ -140,7 +140,7 @@
 
     /// Bars the key because its assigned executor is not available.
     pub(crate) async fn reassign(&mut self) -> Result<NextStep, ApiError> {
-        let above = self.assignment.take().map_or(Ballot::Home, |held| held.ballot);
+        let above = self.assignment.take().map_or(Ballot::Home, |assignment| assignment.ballot);
         self.bar(above).await
     }
 
@@ -323,7 +323,7 @@
             self.tokens_sent = 0;
         }
         if self.job.shared_key {
-            let above = self.assignment.take().map_or(Ballot::Home, |held| held.ballot);
+            let above = self.assignment.take().map_or(Ballot::Home, |assignment| assignment.ballot);
             return Box::pin(self.bar(above)).await;
         }
         self.job.key = generate_key()?;
--- a/crates/bulrushusher_entry/src/operator.rs
+++ b/crates/bulrushusher_entry/src/operator.rs
@@ -44,7 +44,7 @@
                 apply_objects(&self.shared, &[object]);
                 Ok(Response::new(reply))
             }
-            PutOutcome::Conflict(held) => Err(conflict(&key, held.as_ref())),
+            PutOutcome::Conflict(current) => Err(conflict(&key, current.as_ref())),
         }
     }
 
@@ -67,8 +67,8 @@
     }
 }
 
-fn conflict(key: &str, held: Option<&StoredObject>) -> Status {
-    match held {
+fn conflict(key: &str, current: Option<&StoredObject>) -> Status {
+    match current {
         Some(object) => Status::aborted(format!(
             "{key} has version {}, written by {}; read it again and retry",
             object.version, object.mark
@@ -129,7 +129,9 @@
         // The name of a removed endpoint can be created again.
         let cfg = self.shared.configuration.load_full();
         let expected_version = match cfg.snapshot.endpoint_including_removed(name) {
-            Some((version, held)) if held.removed.is_some() && req.expected_version == 0 => version,
+            Some((version, current)) if current.removed.is_some() && req.expected_version == 0 => {
+                version
+            }
             Some(_) | None => req.expected_version,
         };
         self.put(ObjectKind::Endpoint, name, expected_version, &endpoint).await
@@ -156,9 +158,9 @@
         let req = req.into_inner();
         let cfg = self.shared.configuration.load_full();
         let found = cfg.snapshot.endpoint(&req.name);
-        let (_, held) = found.ok_or_else(|| not_found(ObjectKind::Endpoint, &req.name))?;
+        let (_, current) = found.ok_or_else(|| not_found(ObjectKind::Endpoint, &req.name))?;
         let removed = Some(self.shared.clock.now());
-        let endpoint = bulrushusher_world::Endpoint { leaving: true, removed, ..held.clone() };
+        let endpoint = bulrushusher_world::Endpoint { leaving: true, removed, ..current.clone() };
         self.put(ObjectKind::Endpoint, &req.name, req.expected_version, &endpoint).await
     }
 
@@ -166,8 +168,8 @@
         let req = req.into_inner();
         let cfg = self.shared.configuration.load_full();
         let found = cfg.snapshot.endpoint(&req.name);
-        let (version, held) = found.ok_or_else(|| not_found(ObjectKind::Endpoint, &req.name))?;
-        let endpoint = bulrushusher_world::Endpoint { leaving: req.drain, ..held.clone() };
+        let (version, current) = found.ok_or_else(|| not_found(ObjectKind::Endpoint, &req.name))?;
+        let endpoint = bulrushusher_world::Endpoint { leaving: req.drain, ..current.clone() };
         self.put(ObjectKind::Endpoint, &req.name, version, &endpoint).await
     }
 
