--- a/crates/bulrushusher_agent/src/agent.rs
+++ b/crates/bulrushusher_agent/src/agent.rs
@@ -1,4 +1,4 @@
-//! The agent's shared state, start and shutdown.
+//! The state shared by the agent's tasks, startup and shutdown.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,29 +18,35 @@
 use tokio::task::JoinHandle;
 
 use crate::control::Control;
-use crate::desk::Desk;
 use crate::engine::EngineClient;
 use crate::keys::Keys;
+use crate::slots::Slots;
 use crate::{AgentConfig, LOG, streams};
 
-const GATE_TICK: Duration = Duration::from_millis(5);
-const LOAD_TICK: Duration = Duration::from_millis(500);
-const PEER_TICK: Duration = Duration::from_millis(500);
+/// Interval at which expired reservations and waits are handled.
+const SLOTS_TICK: Duration = Duration::from_millis(5);
+/// Interval at which the engine's load is read.
+const ENGINE_LOAD_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which agents that have not acknowledged the present list are asked again.
+const LIST_ACK_INTERVAL: Duration = Duration::from_millis(500);
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
-const DRAIN_TICK: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const MAX_CONNECTIONS: u32 = 8_192;
 
-/// What the agent's tasks share.
+/// State shared by the agent's tasks.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) cfg: AgentConfig,
+    /// Identifies this run of the agent process.
     pub(crate) incarnation: u64,
     pub(crate) keys: Keys,
-    pub(crate) desk: Desk,
+    pub(crate) slots: Slots,
     pub(crate) http: HttpClient,
     pub(crate) engine: EngineClient,
+    /// Running and waiting requests as last reported by the engine.
     engine_load: Mutex<(u32, u32)>,
-    peers: ArcSwap<BTreeMap<EndpointName, SocketAddr>>,
+    /// Control addresses of the service's agents, present and departed.
+    agents: ArcSwap<BTreeMap<EndpointName, SocketAddr>>,
 }
 
 impl Shared {
@@ -49,106 +55,111 @@
             endpoint: self.cfg.name.clone(),
             incarnation: self.incarnation,
             revision: self.keys.revision(),
-            leaving: self.desk.is_leaving(),
-            load: self.desk.load(),
+            leaving: self.slots.is_draining(),
+            load: self.slots.load(),
             engine_load: *self.engine_load.lock(),
         }
     }
 
-    /// Takes a later endpoint list. An endpoint that is not in it any more is leaving.
-    pub(crate) fn take_list(&self, push: EndpointListUpdate) {
-        if push.service != self.cfg.service || !self.keys.set_list(push.list) {
+    /// Applies an endpoint list if its revision is higher. An endpoint that is not in it drains.
+    pub(crate) fn apply_list(&self, update: EndpointListUpdate) {
+        if update.service != self.cfg.service || !self.keys.set_list(update.list) {
             return;
         }
-        let me = push.endpoints.iter().find(|endpoint| endpoint.name == self.cfg.name);
-        let leaving = me.is_none_or(|endpoint| endpoint.leaving);
-        if leaving != self.desk.is_leaving() {
-            log::info!("{LOG} {} is leaving: {leaving}", self.cfg.name);
-            self.desk.set_leaving(leaving);
+        let own = update.endpoints.iter().find(|endpoint| endpoint.name == self.cfg.name);
+        let leaving = own.is_none_or(|endpoint| endpoint.leaving);
+        if leaving != self.slots.is_draining() {
+            log::info!("{LOG} {} is draining: {leaving}", self.cfg.name);
+            self.slots.set_draining(leaving);
         }
-        let known = push.endpoints.iter().chain(&push.departed);
+        let known = update.endpoints.iter().chain(&update.departed);
         let addresses = known.map(|endpoint| (endpoint.name.clone(), endpoint.control)).collect();
-        self.peers.store(Arc::new(addresses));
+        self.agents.store(Arc::new(addresses));
     }
 }
 
 /// A running agent. Dropping it stops listening at once; see [`Agent::shut_down`].
 #[derive(Debug)]
 pub struct Agent {
-    /// Where control calls are taken.
+    /// Bound address of the control calls.
     pub control: SocketAddr,
-    /// Where streams are taken.
+    /// Bound address of the streams.
     pub stream: SocketAddr,
     shared: Arc<Shared>,
-    served: HttpServer,
-    rpc: ServerHandle,
+    stream_server: HttpServer,
+    control_server: ServerHandle,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Agent {
-    /// Frees what an earlier life left in the engine, then starts listening.
+    /// Cancels runs that an earlier agent process left in the engine, then starts the listeners.
     ///
     /// # Errors
-    /// What the system says, such as "address in use".
+    /// The I/O error of a listener that cannot be opened, such as "address in use".
     pub async fn start(cfg: AgentConfig) -> std::io::Result<Agent> {
         let clock = Clock::system();
         let incarnation = uuid::Uuid::now_v7().as_u128() as u64;
         let http = HttpClient::new();
-        let silent = cfg.idle_timeout.duration();
-        let engine = EngineClient::new(http.clone(), cfg.target, silent);
+        let idle_timeout = cfg.idle_timeout.duration();
+        let engine = EngineClient::new(http.clone(), cfg.target, idle_timeout);
         let shared = Arc::new(Shared {
             incarnation,
             keys: Keys::new(&cfg, clock.clone(), incarnation),
-            desk: Desk::new(cfg.admission, clock),
+            slots: Slots::new(cfg.admission, clock),
             http,
             engine,
             engine_load: Mutex::new((0, 0)),
-            peers: ArcSwap::default(),
+            agents: ArcSwap::default(),
             cfg,
         });
-        free_leftovers(&shared).await;
+        cancel_leftover_runs(&shared).await;
         let rpc_listener = bind(shared.cfg.control)?;
         let control = rpc_listener.local_addr()?;
-        let rpc = serve_control(rpc_listener, Arc::clone(&shared))?;
-        let served = serve(shared.cfg.stream, streams::routes(Arc::clone(&shared)))?;
+        let control_server = serve_control(rpc_listener, Arc::clone(&shared))?;
+        let stream_server = serve(shared.cfg.stream, streams::routes(Arc::clone(&shared)))?;
         let tasks = vec![
-            tokio::spawn(gate_loop(Arc::clone(&shared))),
-            tokio::spawn(load_loop(Arc::clone(&shared))),
-            tokio::spawn(peer_loop(Arc::clone(&shared))),
+            tokio::spawn(slots_loop(Arc::clone(&shared))),
+            tokio::spawn(engine_load_loop(Arc::clone(&shared))),
+            tokio::spawn(list_ack_loop(Arc::clone(&shared))),
         ];
         log::info!(
-            "{LOG} {} takes control on {control}, streams on {}",
+            "{LOG} {} listens for control calls on {control}, for streams on {}",
             shared.cfg.name,
-            served.addr
+            stream_server.addr
         );
-        Ok(Agent { control, stream: served.addr, shared, served, rpc, tasks })
+        let stream = stream_server.addr;
+        Ok(Agent { control, stream, shared, stream_server, control_server, tasks })
     }
 
-    /// Keys on record as executor and as home, and bytes of answers kept.
+    /// The number of executor records, the number of home records, and the bytes of retained
+    /// answers.
     pub fn record_sizes(&self) -> (usize, usize, usize) {
         self.shared.keys.sizes()
     }
 
-    /// Takes no new work, lets what is in flight finish, then stops.
+    /// Stops accepting work, waits for requests in flight up to the drain timeout, and stops.
     pub async fn shut_down(self) {
         log::info!(
-            "{LOG} {} shuts down, {} in flight",
+            "{LOG} {} is shutting down, {} requests in flight",
             self.shared.cfg.name,
-            self.shared.desk.used()
+            self.shared.slots.used()
         );
-        self.shared.desk.set_leaving(true);
+        self.shared.slots.set_draining(true);
         let drained = async {
-            while self.shared.desk.used() > 0 {
-                tokio::time::sleep(DRAIN_TICK).await;
+            while self.shared.slots.used() > 0 {
+                tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
         let drain = self.shared.cfg.drain_timeout.duration();
-        let cut = tokio::time::timeout(drain, drained).await.is_err();
-        if cut {
-            log::warn!("{LOG} the drain bound is over, {} cut off", self.shared.desk.used());
+        let timed_out = tokio::time::timeout(drain, drained).await.is_err();
+        if timed_out {
+            log::warn!(
+                "{LOG} drain timeout exceeded, {} requests aborted",
+                self.shared.slots.used()
+            );
         }
-        self.rpc.stop().ok();
-        tokio::time::timeout(drain, self.served.stop()).await.ok();
+        self.control_server.stop().ok();
+        tokio::time::timeout(drain, self.stream_server.stop()).await.ok();
         for task in &self.tasks {
             task.abort();
         }
@@ -165,8 +176,8 @@
     Ok(server.start(Control(shared).into_rpc()))
 }
 
-/// Cancels what an earlier life of this agent left running: nobody can reach its answer.
-async fn free_leftovers(shared: &Shared) {
+/// Cancels runs that an earlier process of this agent started, because their answers are lost.
+async fn cancel_leftover_runs(shared: &Shared) {
     if shared.cfg.role != Role::Decode {
         return;
     }
@@ -177,40 +188,40 @@
                 shared.engine.cancel(&run).await.ok();
             }
         }
-        Err(e) => log::warn!("{LOG} the engine does not tell its runs: {e}"),
+        Err(e) => log::warn!("{LOG} the engine did not list its runs: {e}"),
     }
 }
 
-async fn gate_loop(shared: Arc<Shared>) {
+async fn slots_loop(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(GATE_TICK).await;
-        shared.desk.tick();
+        tokio::time::sleep(SLOTS_TICK).await;
+        shared.slots.tick();
     }
 }
 
-async fn load_loop(shared: Arc<Shared>) {
+async fn engine_load_loop(shared: Arc<Shared>) {
     if shared.cfg.role == Role::Service {
         return;
     }
     loop {
-        tokio::time::sleep(LOAD_TICK).await;
+        tokio::time::sleep(ENGINE_LOAD_INTERVAL).await;
         if let Ok(load) = shared.engine.load().await {
             *shared.engine_load.lock() = load;
         }
     }
 }
 
-/// Asks agents of the list before whether they hold the present one.
-async fn peer_loop(shared: Arc<Shared>) {
+/// Asks the agents that must acknowledge the present list for the revision that they use.
+async fn list_ack_loop(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(PEER_TICK).await;
-        for name in shared.keys.unacknowledged() {
-            let Some(addr) = shared.peers.load().get(&name).copied() else { continue };
+        tokio::time::sleep(LIST_ACK_INTERVAL).await;
+        for name in shared.keys.pending_acks() {
+            let Some(addr) = shared.agents.load().get(&name).copied() else { continue };
             let url = format!("http://{addr}");
             let client = HttpClientBuilder::default().request_timeout(PEER_TIMEOUT).build(url);
             let Ok(client) = client else { continue };
             if let Ok(status) = client.heartbeat(Heartbeat::default()).await {
-                shared.keys.acknowledged(&name, status.revision);
+                shared.keys.record_ack(&name, status.revision);
             }
         }
     }
--- a/crates/bulrushusher_agent/src/answer.rs
+++ b/crates/bulrushusher_agent/src/answer.rs
@@ -1,4 +1,4 @@
-//! The answer of one run: what came so far, who is attached, how it ended.
+//! The answer of one run: the tokens so far, the attached streams, and how the run ended.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +11,15 @@
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Ending {
-    /// All tokens came.
-    Whole,
-    /// A service answered.
+    /// All tokens were generated.
+    Complete,
+    /// The service answered.
     Service { status: u16, content_type: String, body: Bytes },
-    /// The KV cache was gone before it began; nothing ran.
-    KvGone,
-    /// It began and was lost or cancelled; perhaps with the end of its engine.
+    /// Nothing was executed: the KV cache was gone, or the engine or service was not reached or
+    /// refused the run.
+    NotExecuted,
+    /// The run started, and was lost or cancelled. `engine_ended` is true if the engine process
+    /// ended.
     Failed { cause: String, engine_ended: bool },
 }
 
@@ -26,18 +28,20 @@
     tokens: Vec<String>,
     bytes: usize,
     ending: Option<Ending>,
-    /// When each open stream was last known to be read.
+    /// When each attached stream was last known to be read.
     streams: BTreeMap<String, Instant>,
-    /// When a stream was last known to be read.
+    /// When any stream was last known to be read.
     last_read: Option<Instant>,
-    given_up: bool,
+    abandoned: bool,
 }
 
-/// An answer in the making, or finished.
+/// An answer, in progress or complete.
 #[derive(Debug, Default)]
 pub(crate) struct Answer {
     inner: Mutex<Inner>,
+    /// Notified when a token or the ending is added.
     pub(crate) changed: Notify,
+    /// Notified when a stream is attached, detached or abandoned.
     pub(crate) streams_changed: Notify,
 }
 
@@ -77,7 +81,7 @@
         self.streams_changed.notify_waiters();
     }
 
-    /// An entry still reads a stream.
+    /// Records that an entry still reads a stream.
     pub(crate) fn keep_alive(&self, stream: &str) {
         let now = Instant::now();
         let mut inner = self.inner.lock();
@@ -87,34 +91,35 @@
         }
     }
 
-    /// A stream broke. Its reader may come back.
+    /// Removes a stream whose connection ended. Its reader may attach again.
     pub(crate) fn detach(&self, stream: &str) {
         self.inner.lock().streams.remove(stream);
         self.streams_changed.notify_waiters();
     }
 
-    /// A stream was given up. When it was the last one, the run is wanted by nobody.
-    pub(crate) fn give_up(&self, stream: &str) -> bool {
+    /// Abandons a stream; returns true if it was attached. The run is abandoned with the last
+    /// stream.
+    pub(crate) fn abandon(&self, stream: &str) -> bool {
         let mut inner = self.inner.lock();
-        let known = inner.streams.remove(stream).is_some();
-        inner.given_up |= known && inner.streams.is_empty();
+        let was_attached = inner.streams.remove(stream).is_some();
+        inner.abandoned |= was_attached && inner.streams.is_empty();
         drop(inner);
         self.streams_changed.notify_waiters();
-        known
+        was_attached
     }
 
-    pub(crate) fn is_given_up(&self) -> bool {
+    pub(crate) fn is_abandoned(&self) -> bool {
         let inner = self.inner.lock();
-        inner.given_up && inner.streams.is_empty()
+        inner.abandoned && inner.streams.is_empty()
     }
 
-    /// When a stream was last known to be read; `None` before the first one.
+    /// When any stream was last known to be read; `None` before the first one.
     pub(crate) fn last_read(&self) -> Option<Instant> {
         self.inner.lock().last_read
     }
 
-    /// What a stream that has `from` tokens lacks: frames, the raw bytes behind the last one, and
-    /// whether the stream ends with it.
+    /// The frames from token `from` on, the raw bytes that follow the last frame, and whether the
+    /// stream ends with them.
     pub(crate) fn frames_from(&self, from: usize) -> (Vec<Frame>, Option<Bytes>, bool) {
         let inner = self.inner.lock();
         let new = inner.tokens.iter().enumerate().skip(from);
@@ -122,8 +127,8 @@
             new.map(|(n, text)| Frame::Token { n: n as u32, text: text.clone() }).collect();
         let Some(ending) = &inner.ending else { return (frames, None, false) };
         let (last, body) = match ending {
-            Ending::Whole => (Frame::End { tokens: inner.tokens.len() as u32 }, None),
-            Ending::KvGone => (Frame::KvGone, None),
+            Ending::Complete => (Frame::End { tokens: inner.tokens.len() as u32 }, None),
+            Ending::NotExecuted => (Frame::KvGone, None),
             Ending::Failed { cause, engine_ended } => {
                 let (cause, engine_ended) = (cause.clone(), *engine_ended);
                 (Frame::Failed { cause, engine_ended }, None)
--- a/crates/bulrushusher_agent/src/call.rs
+++ b/crates/bulrushusher_agent/src/call.rs
@@ -1,4 +1,4 @@
-//! One call of a plain service. A call that was sent is never sent again.
+//! Calls of a plain service. A call that may have been sent is never retried.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 
 /// The header that carries the request's key to the service.
 const KEY_HEADER: &str = "x-request-key";
-/// The longest time a service may take.
+/// Maximum duration of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Status of a refusal that may come with the time until which no other request is wanted.
+/// Status of a refusal, which may carry the time for which to send no further request.
 const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// Calls the service for an order that was taken.
+/// Calls the service for an accepted order.
 pub(crate) async fn run(shared: &Shared, order: &RunOrder, work: &CallOrder, answer: &Answer) {
     let headers = [("content-type", work.content_type.as_str()), (KEY_HEADER, order.key.as_str())];
     let parts = RequestParts {
@@ -31,12 +31,12 @@
     let called = shared.http.call(shared.cfg.target, parts, CALL_TIMEOUT).await;
     match called {
         Ok(reply) => {
-            if let Some(length) = backoff_asked(&reply) {
+            if let Some(backoff) = requested_backoff(&reply) {
                 log::info!(
-                    "{LOG} the service refused {} and is called again after {length}",
+                    "{LOG} the service refused {} and gets no further calls for {backoff}",
                     order.key
                 );
-                shared.desk.back_off(length);
+                shared.slots.back_off(backoff);
             }
             let content_type = reply.header("content-type").to_owned();
             let ending = Ending::Service { status: reply.status, content_type, body: reply.body };
@@ -44,23 +44,23 @@
             shared.keys.finish(&order.key, answer.bytes());
         }
         Err(e) if e.is_unsent() => {
-            log::warn!("{LOG} the service did not take {}: {e}", order.key);
-            shared.keys.not_begun(&order.key, &order.ballot);
-            answer.end(Ending::KvGone);
+            log::warn!("{LOG} the call for {} was not sent: {e}", order.key);
+            shared.keys.undo_start(&order.key, &order.ballot);
+            answer.end(Ending::NotExecuted);
         }
-        Err(e) => lost(shared, order, answer, &e),
+        Err(e) => handle_lost_response(shared, order, answer, &e),
     }
 }
 
-/// The time for which a service that refuses a call wants no other.
-fn backoff_asked(reply: &HttpReply) -> Option<Millis> {
+/// The time for which a service that refused a call accepts no others: its `retry-after` header.
+fn requested_backoff(reply: &HttpReply) -> Option<Millis> {
     let seconds: f64 = reply.header("retry-after").trim().parse().ok()?;
     let is_backoff = reply.status == SERVICE_UNAVAILABLE && seconds.is_finite() && seconds > 0.0;
     is_backoff.then(|| Millis((seconds * 1_000.0).ceil() as u64))
 }
 
-fn lost(shared: &Shared, order: &RunOrder, answer: &Answer, error: &HttpError) {
-    log::warn!("{LOG} the service's answer to {} was lost: {error}", order.key);
+fn handle_lost_response(shared: &Shared, order: &RunOrder, answer: &Answer, error: &HttpError) {
+    log::warn!("{LOG} no response of the service to {}, which may have run: {error}", order.key);
     shared.keys.end(&order.key, RunStatus::Failed);
     answer.end(Ending::Failed { cause: error.to_string(), engine_ended: false });
 }
--- a/crates/bulrushusher_agent/src/control.rs
+++ b/crates/bulrushusher_agent/src/control.rs
@@ -1,4 +1,4 @@
-//! The control listener.
+//! The control calls that the agent serves.
 
 use std::sync::Arc;
 
@@ -12,50 +12,50 @@
 
 use crate::agent::Shared;
 
-/// Serves the control calls.
+/// Implements the control calls.
 pub(crate) struct Control(pub(crate) Arc<Shared>);
 
 #[async_trait]
 impl AgentControlServer for Control {
-    async fn reserve(&self, ask: ReserveRequest) -> RpcResult<ReserveReply> {
+    async fn reserve(&self, req: ReserveRequest) -> RpcResult<ReserveReply> {
         let shared = &self.0;
-        let in_doubt = ask.key.as_ref().is_some_and(|key| shared.keys.is_in_doubt(key));
-        let granted = match in_doubt {
+        let in_doubt = req.key.as_ref().is_some_and(|key| shared.keys.is_in_doubt(key));
+        let outcome = match in_doubt {
             true => Err(Refusal::CannotVouch),
-            false => shared.desk.reserve(&ask).await,
+            false => shared.slots.reserve(&req).await,
         };
-        let reserved = |grant: bulrushusher_admission::Grant| Reservation {
+        let reservation = |grant: bulrushusher_admission::Grant| Reservation {
             id: grant.id,
             incarnation: shared.incarnation,
             time_to_live: shared.cfg.admission.time_to_live,
         };
-        Ok(ReserveReply { outcome: granted.map(reserved), load: shared.desk.load() })
+        Ok(ReserveReply { outcome: outcome.map(reservation), load: shared.slots.load() })
     }
 
     async fn release(&self, id: ReservationId) -> RpcResult<()> {
-        self.0.desk.finish(id);
+        self.0.slots.release(id);
         Ok(())
     }
 
-    async fn claim(&self, ask: ClaimRequest) -> RpcResult<ClaimReply> {
-        Ok(self.0.keys.claim(&ask))
+    async fn claim(&self, req: ClaimRequest) -> RpcResult<ClaimReply> {
+        Ok(self.0.keys.claim(&req))
     }
 
-    async fn bar(&self, asks: Vec<BarRequest>) -> RpcResult<Vec<BarResponse>> {
-        Ok(asks.iter().map(|ask| self.0.keys.bar(ask)).collect())
+    async fn bar(&self, reqs: Vec<BarRequest>) -> RpcResult<Vec<BarResponse>> {
+        Ok(reqs.iter().map(|req| self.0.keys.bar(req)).collect())
     }
 
-    async fn cancel(&self, ask: CancelRequest) -> RpcResult<bool> {
-        Ok(self.0.keys.give_up(&ask.key, &ask.stream))
+    async fn cancel(&self, req: CancelRequest) -> RpcResult<bool> {
+        Ok(self.0.keys.abandon_stream(&req.key, &req.stream))
     }
 
-    async fn set_list(&self, push: EndpointListUpdate) -> RpcResult<u64> {
-        self.0.take_list(push);
+    async fn set_list(&self, update: EndpointListUpdate) -> RpcResult<u64> {
+        self.0.apply_list(update);
         Ok(self.0.keys.revision())
     }
 
-    async fn heartbeat(&self, beat: Heartbeat) -> RpcResult<AgentStatus> {
-        self.0.keys.keep_alive(&beat.streams);
+    async fn heartbeat(&self, heartbeat: Heartbeat) -> RpcResult<AgentStatus> {
+        self.0.keys.keep_alive(&heartbeat.streams);
         Ok(self.0.status())
     }
 }
--- a/crates/bulrushusher_agent/src/engine.rs
+++ b/crates/bulrushusher_agent/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine's protocol, as far as the agent speaks it.
+//! Client for the part of the engine's protocol that the agent uses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use bulrushusher_http::{HttpClient, HttpError, LineStream};
 use serde::{Deserialize, Serialize};
 
-/// The longest time the engine may take to import a KV cache, or to say that it is gone.
-const IMPORT_BOUND: Duration = Duration::from_millis(6_000);
+/// Maximum time for the engine to import a KV cache, or to report that it is gone.
+const IMPORT_TIMEOUT: Duration = Duration::from_millis(6_000);
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A message of a prefill stream.
@@ -74,17 +74,21 @@
     waiting: u32,
 }
 
-/// The engine beside this agent.
+/// Client of the agent's engine.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineClient {
     http: HttpClient,
     engine: SocketAddr,
-    silent: Duration,
+    idle_timeout: Duration,
 }
 
 impl EngineClient {
-    pub(crate) fn new(http: HttpClient, engine: SocketAddr, silent: Duration) -> EngineClient {
-        EngineClient { http, engine, silent }
+    pub(crate) fn new(
+        http: HttpClient,
+        engine: SocketAddr,
+        idle_timeout: Duration,
+    ) -> EngineClient {
+        EngineClient { http, engine, idle_timeout }
     }
 
     pub(crate) fn addr(&self) -> SocketAddr {
@@ -99,10 +103,11 @@
             run: &order.run,
             key: order.key.as_str(),
             prompt: &order.prompt,
-            // Granted first, computed first: the decode place that waits for it was taken then.
+            // Prefills run in the order of their grants, because the decode slot of an earlier one
+            // has been reserved for longer.
             priority: order.reservation.0,
         };
-        self.http.post_stream(self.engine, "/prefill", &call, self.silent).await
+        self.http.post_stream(self.engine, "/prefill", &call, self.idle_timeout).await
     }
 
     pub(crate) async fn decode(
@@ -113,27 +118,29 @@
     ) -> Result<LineStream, HttpError> {
         let kv = KvSource { engine: work.kv.engine, kv: work.kv.kv };
         let call = DecodeCall { run, key, kv, max_tokens: work.max_tokens };
-        // The answer begins when the KV cache has come, or is known to be gone.
-        let opened = self.http.post_stream(self.engine, "/decode", &call, IMPORT_BOUND).await?;
-        Ok(opened.with_idle_timeout(self.silent))
+        // The response starts when the KV cache is imported, or known to be gone.
+        let opened = self.http.post_stream(self.engine, "/decode", &call, IMPORT_TIMEOUT).await?;
+        Ok(opened.with_idle_timeout(self.idle_timeout))
     }
 
     pub(crate) async fn resume(&self, run: &str, from: usize) -> Result<LineStream, HttpError> {
-        self.http.post_stream(self.engine, "/resume", &ResumeCall { run, from }, self.silent).await
+        self.http
+            .post_stream(self.engine, "/resume", &ResumeCall { run, from }, self.idle_timeout)
+            .await
     }
 
-    /// Frees the memory of a run; false when the engine held none.
+    /// Cancels a run and frees its memory; returns false if the engine held none.
     pub(crate) async fn cancel(&self, run: &str) -> Result<bool, HttpError> {
         self.http.post(self.engine, "/cancel", &RunName { run }, CALL_TIMEOUT).await
     }
 
-    /// Runs that hold engine memory.
+    /// Lists the runs that hold engine memory.
     pub(crate) async fn requests(&self) -> Result<Vec<String>, HttpError> {
         let runs: Runs = self.http.get(self.engine, "/requests", CALL_TIMEOUT).await?;
         Ok(runs.runs)
     }
 
-    /// Load as reported, late: running and waiting.
+    /// The numbers of running and waiting requests. The engine's report lags behind.
     pub(crate) async fn load(&self) -> Result<(u32, u32), HttpError> {
         let load: LoadReport = self.http.get(self.engine, "/load", CALL_TIMEOUT).await?;
         Ok((load.running, load.waiting))
--- a/crates/bulrushusher_agent/src/keys.rs
+++ b/crates/bulrushusher_agent/src/keys.rs
@@ -1,4 +1,4 @@
-//! The at-most-once records of this agent, and the answers that go with them.
+//! The at-most-once records of this agent, with the answers of its runs.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -24,21 +24,22 @@
     answers: HashMap<RequestKey, Arc<Answer>>,
 }
 
-/// What an order comes to.
-pub(crate) enum Taken {
-    /// Run it, and fill this answer.
+/// What to do with an accepted order.
+pub(crate) enum AcceptedOrder {
+    /// Run it, and write its answer here.
     Run(Arc<Answer>),
-    /// It ran or runs already: attach to this answer.
+    /// The key is running or has run: attach to this answer.
     Attach(Arc<Answer>),
 }
 
-/// The records, shared by the agent's tasks.
+/// Records and answers, shared by the agent's tasks.
 #[derive(Debug)]
 pub(crate) struct Keys {
     clock: Clock,
     incarnation: u64,
     inner: Mutex<Inner>,
-    begun: Notify,
+    /// Notified when a run starts.
+    run_started: Notify,
 }
 
 impl Keys {
@@ -51,32 +52,34 @@
         };
         let records = KeyRecords::new(cfg.name.clone(), records);
         let inner = Inner { records, answers: HashMap::new() };
-        Keys { clock, incarnation, inner: Mutex::new(inner), begun: Notify::new() }
+        Keys { clock, incarnation, inner: Mutex::new(inner), run_started: Notify::new() }
     }
 
-    /// An order to run a key came. `start` takes its place at the gate, and is called only when the
-    /// key may run.
+    /// Handles an order to run a key. `start` starts its reservation, and is called only if the key
+    /// may run.
     pub(crate) fn order(
         &self,
         order: &RunOrder,
         start: impl FnOnce() -> Result<(), OrderRejection>,
-    ) -> Result<Taken, OrderRejection> {
+    ) -> Result<AcceptedOrder, OrderRejection> {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
         match inner.records.order(&order.key, order.shared_key, &order.ballot, now) {
             OrderReply::Run => {
-                if let Err(refused) = start() {
+                if let Err(rejection) = start() {
                     inner.records.undo_start(&order.key, &order.ballot);
-                    return Err(refused);
+                    return Err(rejection);
                 }
                 let answer = Arc::new(Answer::default());
                 inner.answers.insert(order.key.clone(), Arc::clone(&answer));
-                inner.drop_answers();
+                inner.remove_dropped_answers();
                 drop(inner);
-                self.begun.notify_waiters();
-                Ok(Taken::Run(answer))
+                self.run_started.notify_waiters();
+                Ok(AcceptedOrder::Run(answer))
+            }
+            OrderReply::AlreadyRan(status) => {
+                inner.answer(&order.key, status).map(AcceptedOrder::Attach)
             }
-            OrderReply::AlreadyRan(ran) => inner.answer(&order.key, ran).map(Taken::Attach),
             OrderReply::Barred(ballot) => Err(OrderRejection::Barred { ballot }),
             OrderReply::InDoubt => Err(OrderRejection::InDoubt),
             OrderReply::TooOld => Err(OrderRejection::TooOld),
@@ -88,81 +91,84 @@
         }
     }
 
-    /// Whether this agent could not vouch for a key if it were ordered now.
+    /// True if an order for the key would be rejected now because the key may be older than this
+    /// agent's records.
     pub(crate) fn is_in_doubt(&self, key: &RequestKey) -> bool {
         self.inner.lock().records.is_in_doubt(key, self.clock.now())
     }
 
-    /// Finds the answer of a key that runs or ran here, waiting up to `wait` for it to begin.
-    /// `give_up` is called when it has not; an order that comes later finds it done.
+    /// Finds the answer of a key that is running or has run here. Waits up to `wait` for the run to
+    /// start. If it has not started by then, calls `revoke` while the records are locked, so that
+    /// an order that arrives later is handled after it.
     pub(crate) async fn attach(
         &self,
         key: &RequestKey,
         wait: Millis,
-        give_up: impl FnOnce(),
+        revoke: impl FnOnce(),
     ) -> Result<Arc<Answer>, OrderRejection> {
         let end = tokio::time::Instant::now() + wait.duration();
         loop {
-            let begun = self.begun.notified();
-            if let Some(found) = self.inner.lock().look(key) {
+            let run_started = self.run_started.notified();
+            if let Some(found) = self.inner.lock().find_answer(key) {
                 return found;
             }
-            if tokio::time::timeout_at(end, begun).await.is_err() {
+            if tokio::time::timeout_at(end, run_started).await.is_err() {
                 break;
             }
         }
         let inner = self.inner.lock();
-        if let Some(found) = inner.look(key) {
+        if let Some(found) = inner.find_answer(key) {
             return found;
         }
-        give_up();
+        revoke();
         drop(inner);
         Err(OrderRejection::NotHere { incarnation: self.incarnation })
     }
 
-    /// A run finished with an answer of `bytes`.
+    /// Records that a run finished with an answer of `bytes`.
     pub(crate) fn finish(&self, key: &RequestKey, bytes: usize) {
         let mut inner = self.inner.lock();
         inner.records.finish(key, bytes);
-        inner.drop_answers();
+        inner.remove_dropped_answers();
     }
 
-    /// A run began and ended without an answer.
-    pub(crate) fn end(&self, key: &RequestKey, ran: RunStatus) {
-        self.inner.lock().records.end(key, ran);
+    /// Records that a run started and ended without an answer.
+    pub(crate) fn end(&self, key: &RequestKey, status: RunStatus) {
+        self.inner.lock().records.end(key, status);
     }
 
-    /// A run certainly did not begin.
-    pub(crate) fn not_begun(&self, key: &RequestKey, ballot: &Ballot) {
+    /// Reverts the recorded start of a run that certainly did not start.
+    pub(crate) fn undo_start(&self, key: &RequestKey, ballot: &Ballot) {
         let mut inner = self.inner.lock();
         inner.records.undo_start(key, ballot);
         inner.answers.remove(key);
     }
 
-    pub(crate) fn claim(&self, ask: &ClaimRequest) -> ClaimReply {
+    pub(crate) fn claim(&self, req: &ClaimRequest) -> ClaimReply {
         let now = self.clock.now();
-        self.inner.lock().records.claim(&ask.key, &ask.executor, ask.revision, now)
+        self.inner.lock().records.claim(&req.key, &req.executor, req.revision, now)
     }
 
-    pub(crate) fn bar(&self, ask: &BarRequest) -> BarResponse {
+    pub(crate) fn bar(&self, req: &BarRequest) -> BarResponse {
         let now = self.clock.now();
-        let heard = self.inner.lock().records.bar(&ask.key, &ask.ballot, ask.revision, now);
-        log::debug!("{LOG} key {} barred at {}: {heard:?}", ask.key, ask.ballot);
-        BarResponse { reply: heard.reply, home: heard.home, revision: heard.revision }
+        let reply = self.inner.lock().records.bar(&req.key, &req.ballot, req.revision, now);
+        log::debug!("{LOG} key {} barred at {}: {reply:?}", req.key, req.ballot);
+        BarResponse { reply: reply.reply, home: reply.home, revision: reply.revision }
     }
 
-    /// Takes a later endpoint list; false when it is not later.
+    /// Sets the endpoint list; returns false, and ignores it, unless its revision is higher.
     pub(crate) fn set_list(&self, list: ServiceList) -> bool {
         let now = self.clock.now();
         self.inner.lock().records.set_list(list, now)
     }
 
-    /// Agents that have still to acknowledge the present list.
-    pub(crate) fn unacknowledged(&self) -> Vec<EndpointName> {
+    /// Agents that have not acknowledged the present list yet.
+    pub(crate) fn pending_acks(&self) -> Vec<EndpointName> {
         self.inner.lock().records.pending_acks()
     }
 
-    pub(crate) fn acknowledged(&self, agent: &EndpointName, revision: u64) {
+    /// Records the list revision that an agent uses.
+    pub(crate) fn record_ack(&self, agent: &EndpointName, revision: u64) {
         self.inner.lock().records.record_ack(agent, revision, self.clock.now());
     }
 
@@ -170,12 +176,13 @@
         self.inner.lock().records.revision()
     }
 
-    /// Keys on record as executor and as home, and bytes of answers kept.
+    /// The number of executor records, the number of home records, and the bytes of retained
+    /// answers.
     pub(crate) fn sizes(&self) -> (usize, usize, usize) {
         self.inner.lock().records.sizes()
     }
 
-    /// An entry still reads these streams.
+    /// Records that an entry still reads these streams.
     pub(crate) fn keep_alive(&self, streams: &[OpenStreamId]) {
         let inner = self.inner.lock();
         for open in streams {
@@ -185,28 +192,28 @@
         }
     }
 
-    /// Gives up a stream of a key; true when it was attached here.
-    pub(crate) fn give_up(&self, key: &RequestKey, stream: &str) -> bool {
+    /// Abandons a stream of a key; returns true if it was attached here.
+    pub(crate) fn abandon_stream(&self, key: &RequestKey, stream: &str) -> bool {
         let answer = self.inner.lock().answers.get(key).cloned();
-        answer.is_some_and(|answer| answer.give_up(stream))
+        answer.is_some_and(|answer| answer.abandon(stream))
     }
 }
 
 impl Inner {
-    fn look(&self, key: &RequestKey) -> Option<Result<Arc<Answer>, OrderRejection>> {
-        let ran = self.records.run_status(key)?;
-        Some(self.answer(key, ran))
+    fn find_answer(&self, key: &RequestKey) -> Option<Result<Arc<Answer>, OrderRejection>> {
+        let status = self.records.run_status(key)?;
+        Some(self.answer(key, status))
     }
 
-    fn answer(&self, key: &RequestKey, ran: RunStatus) -> Result<Arc<Answer>, OrderRejection> {
-        let held = self.answers.get(key).cloned();
-        match (ran, held) {
+    fn answer(&self, key: &RequestKey, status: RunStatus) -> Result<Arc<Answer>, OrderRejection> {
+        let answer = self.answers.get(key).cloned();
+        match (status, answer) {
             (RunStatus::Running | RunStatus::Finished, Some(answer)) => Ok(answer),
             (ran, _) => Err(OrderRejection::RanWithoutAnswer { ran }),
         }
     }
 
-    fn drop_answers(&mut self) {
+    fn remove_dropped_answers(&mut self) {
         for key in self.records.take_dropped() {
             self.answers.remove(&key);
         }
--- a/crates/bulrushusher_agent/src/lib.rs
+++ b/crates/bulrushusher_agent/src/lib.rs
@@ -1,26 +1,26 @@
-//! The agent: the only gate to its engine or plain service.
+//! The agent: controls all access to its engine or plain service.
 //!
-//! It holds the reservations ([`desk`]), the at-most-once records and the answers ([`keys`]), and
-//! drives the engine ([`runner`], [`prefill`]) or the service ([`call`]). Entries reach it by
-//! control calls ([`control`]) and streams ([`streams`]). The decisions are those of
-//! `bulrushusher_admission` and `bulrushusher_once`; this crate only carries them out.
+//! It holds the slot reservations ([`slots`]), the at-most-once records and the answers ([`keys`]),
+//! and calls the engine ([`run`], [`prefill`]) or the service ([`call`]). Entries reach it by
+//! control calls ([`control`]) and streams ([`streams`]). `bulrushusher_admission` and
+//! `bulrushusher_once` make the decisions; this crate executes them.
 //!
-//! Lock order: `keys` before `desk`. No lock is held across an await.
+//! Lock order: `keys` before `slots`. No lock is held across an await.
 
 mod agent;
 mod answer;
 mod call;
 mod config;
 mod control;
-mod desk;
 mod engine;
 mod keys;
 mod prefill;
-mod runner;
+mod run;
+mod slots;
 mod streams;
 
 pub use agent::Agent;
 pub use config::{AgentConfig, PROGRAM};
 
-/// Prefix of every log line of this part.
+/// Prefix of the log lines of this crate.
 pub(crate) const LOG: &str = "agent:";
--- a/crates/bulrushusher_agent/src/main.rs
+++ b/crates/bulrushusher_agent/src/main.rs
@@ -1,4 +1,4 @@
-//! `bulrush-agent`: runs beside one endpoint and is the only gate to it.
+//! `bulrush-agent`: runs next to one endpoint and controls all access to it.
 
 use bulrushusher_agent::{Agent, AgentConfig, PROGRAM};
 use bulrushusher_config::init_logs;
--- a/crates/bulrushusher_agent/src/prefill.rs
+++ b/crates/bulrushusher_agent/src/prefill.rs
@@ -1,4 +1,5 @@
-//! One prefill: from the order to the end of its result. Closing the stream cancels it.
+//! Prefills, from the order until the KV cache is exported or evicted. Closing the stream cancels
+//! the prefill.
 
 use std::sync::Arc;
 
@@ -10,27 +11,27 @@
 
 use crate::LOG;
 use crate::agent::Shared;
-use crate::desk::Desk;
 use crate::engine::PrefillEvent;
+use crate::slots::Slots;
 
-/// Runs a prefill and tells `tx`; holds the place until its result is used or gone, so that no
-/// more results pile up than the link can carry away in time.
+/// Runs a prefill and sends its frames to `tx`. Holds the slot until the KV cache is exported or
+/// evicted, so that no more KV caches accumulate than the link can transfer in time.
 pub(crate) async fn run(shared: Arc<Shared>, order: PrefillRun, tx: mpsc::Sender<Bytes>) {
-    if let Err(refusal) = shared.desk.start(order.reservation) {
-        let refused = Frame::NotTaken(OrderRejection::Refused { refusal });
-        tx.send(json_line(&refused)).await.ok();
+    if let Err(refusal) = shared.slots.start(order.reservation) {
+        let rejected = Frame::NotTaken(OrderRejection::Refused { refusal });
+        tx.send(json_line(&rejected)).await.ok();
         return;
     }
-    let _place = Place { desk: &shared.desk, id: order.reservation };
+    let _slot = SlotGuard { slots: &shared.slots, id: order.reservation };
     tokio::select! {
-        told = follow(&shared, &order, &tx) => {
-            if let Err(e) = told {
+        result = follow(&shared, &order, &tx) => {
+            if let Err(e) = result {
                 log::warn!("{LOG} prefill {} failed: {e}", order.run);
                 let failed = Frame::Failed { cause: e.to_string(), engine_ended: false };
                 tx.send(json_line(&failed)).await.ok();
             }
         }
-        () = tx.closed() => log::debug!("{LOG} prefill {} given up", order.run),
+        () = tx.closed() => log::debug!("{LOG} prefill {} cancelled by its entry", order.run),
     }
 }
 
@@ -50,22 +51,22 @@
             PrefillEvent::Exported => (Frame::Exported, true),
             PrefillEvent::Evicted => (Frame::Evicted, true),
         };
-        let gone = tx.send(json_line(&frame)).await.is_err();
-        if is_last || gone {
+        let disconnected = tx.send(json_line(&frame)).await.is_err();
+        if is_last || disconnected {
             return Ok(());
         }
     }
     Ok(())
 }
 
-/// A started place; given back when dropped.
-pub(crate) struct Place<'a> {
-    pub(crate) desk: &'a Desk,
+/// A started slot; released on drop.
+pub(crate) struct SlotGuard<'a> {
+    pub(crate) slots: &'a Slots,
     pub(crate) id: ReservationId,
 }
 
-impl Drop for Place<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
-        self.desk.finish(self.id);
+        self.slots.release(self.id);
     }
 }
--- a/crates/bulrushusher_agent/src/run.rs
+++ b/crates/bulrushusher_agent/src/run.rs
@@ -1,7 +1,7 @@
-//! One run of a key, from the order to the engine to the end of its answer.
+//! Runs of keys, from the order to the end of the answer.
 //!
-//! A run is a task of its own: it goes on when a stream to an entry breaks, and stops when nobody
-//! wants its answer any more.
+//! Each run is a separate task. It continues when the stream to an entry breaks, and stops when no
+//! entry needs its answer any more.
 
 use std::sync::Arc;
 
@@ -13,29 +13,29 @@
 use crate::agent::Shared;
 use crate::answer::{Answer, Ending};
 use crate::engine::DecodeEvent;
-use crate::prefill::Place;
+use crate::prefill::SlotGuard;
 use crate::{LOG, call};
 
-/// Pause before an engine is asked again.
+/// Pause before a call to the engine is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// How often a lost engine stream is resumed before the run is given up.
+/// Attempts to resume a broken engine stream before the run counts as lost.
 const MAX_RESUMES: u32 = 20;
 
-/// How a run came out.
+/// Result of a run.
 enum Outcome {
-    /// The answer is whole.
-    Whole,
-    /// It certainly did not begin.
-    NotBegun(Ending),
-    /// It began and was lost.
+    /// The answer is complete.
+    Complete,
+    /// It certainly did not start.
+    NotStarted(Ending),
+    /// It started and was lost, for this cause.
     Lost(String),
-    /// It began, and its engine ended.
+    /// It started, and the engine process ended.
     EngineEnded,
 }
 
-/// Runs an order that was taken, to the end.
+/// Executes an accepted order to the end.
 pub(crate) async fn run(shared: Arc<Shared>, order: RunOrder, answer: Arc<Answer>) {
-    let _place = Place { desk: &shared.desk, id: order.reservation };
+    let _slot = SlotGuard { slots: &shared.slots, id: order.reservation };
     match &order.work {
         Work::Decode(work) => run_decode(&shared, &order, work, &answer).await,
         Work::Call(work) => call::run(&shared, &order, work, &answer).await,
@@ -46,15 +46,15 @@
     let run = format!("{}@{}", order.key, order.stream);
     let outcome = tokio::select! {
         outcome = decode(shared, order, work, &run, answer) => Some(outcome),
-        () = unwanted(shared, answer) => None,
+        () = abandoned(shared, answer) => None,
     };
     match outcome {
-        Some(Outcome::Whole) => {
+        Some(Outcome::Complete) => {
             shared.keys.finish(&order.key, answer.bytes());
-            answer.end(Ending::Whole);
+            answer.end(Ending::Complete);
         }
-        Some(Outcome::NotBegun(ending)) => {
-            shared.keys.not_begun(&order.key, &order.ballot);
+        Some(Outcome::NotStarted(ending)) => {
+            shared.keys.undo_start(&order.key, &order.ballot);
             answer.end(ending);
         }
         Some(Outcome::Lost(cause)) => {
@@ -64,7 +64,7 @@
             answer.end(Ending::Failed { cause, engine_ended: false });
         }
         Some(Outcome::EngineEnded) => {
-            log::warn!("{LOG} run {run} lost: its engine ended and has started again");
+            log::warn!("{LOG} run {run} lost: its engine ended and was restarted");
             shared.keys.end(&order.key, RunStatus::Failed);
             let cause = "the engine ended".to_owned();
             answer.end(Ending::Failed { cause, engine_ended: true });
@@ -79,23 +79,23 @@
     }
 }
 
-/// Returns once the run was given up, or nobody was known to read it for the orphan bound: also
-/// when a connection looks open and its other end is gone.
-async fn unwanted(shared: &Shared, answer: &Answer) {
-    let orphan = shared.cfg.orphan_timeout.duration();
-    let begun = Instant::now();
+/// Returns once the run is abandoned, or no entry was known to read it for the orphan timeout. The
+/// latter covers connections that still look open although the other end is gone.
+async fn abandoned(shared: &Shared, answer: &Answer) {
+    let orphan_timeout = shared.cfg.orphan_timeout.duration();
+    let started_at = Instant::now();
     loop {
         let changed = answer.streams_changed.notified();
-        if answer.is_given_up() {
+        if answer.is_abandoned() {
             return;
         }
-        let last_read = answer.last_read().unwrap_or(begun);
-        let left = orphan.saturating_sub(last_read.elapsed());
-        if left.is_zero() {
+        let last_read = answer.last_read().unwrap_or(started_at);
+        let remaining = orphan_timeout.saturating_sub(last_read.elapsed());
+        if remaining.is_zero() {
             return;
         }
-        // Whichever comes first: a stream that opens or closes, or the bound as it is now.
-        let _ = timeout(left, changed).await;
+        // A stream that opens or closes may change the remaining time.
+        let _ = timeout(remaining, changed).await;
     }
 }
 
@@ -108,18 +108,20 @@
 ) -> Outcome {
     let mut stream = match shared.engine.decode(run, order.key.as_str(), work).await {
         Ok(stream) => Some(stream),
-        Err(HttpError::Status { status: 410, .. }) => return Outcome::NotBegun(Ending::KvGone),
+        Err(HttpError::Status { status: 410, .. }) => {
+            return Outcome::NotStarted(Ending::NotExecuted);
+        }
         Err(e @ (HttpError::Status { status: 429, .. } | HttpError::Connect { .. })) => {
-            log::warn!("{LOG} the engine did not take run {run}: {e}");
-            return Outcome::NotBegun(Ending::KvGone);
+            log::warn!("{LOG} the engine did not accept run {run}: {e}");
+            return Outcome::NotStarted(Ending::NotExecuted);
         }
         Err(e) => {
-            log::warn!("{LOG} the engine's answer to run {run} was lost: {e}");
+            log::warn!("{LOG} no response of the engine to run {run}, resuming it: {e}");
             None
         }
     };
-    // An engine that took the run and does not know it any more has started again.
-    let was_taken = stream.is_some();
+    // If the engine accepted the run and later has no record of it, the engine was restarted.
+    let was_accepted = stream.is_some();
     for _ in 0..MAX_RESUMES {
         if let Some(open) = stream.take() {
             match follow(open, answer).await {
@@ -130,14 +132,16 @@
         }
         match shared.engine.resume(run, answer.tokens()).await {
             Ok(again) => stream = Some(again),
-            Err(HttpError::Status { status: 404, .. }) if was_taken => return Outcome::EngineEnded,
+            Err(HttpError::Status { status: 404, .. }) if was_accepted => {
+                return Outcome::EngineEnded;
+            }
             Err(_) => sleep(RETRY_PAUSE).await,
         }
     }
-    Outcome::Lost("the engine lost it".to_owned())
+    Outcome::Lost("the engine stream could not be resumed".to_owned())
 }
 
-/// Reads a stream into the answer; `None` when it ended without an end.
+/// Reads a stream into the answer; `None` if it closed before its last event or skipped a token.
 async fn follow(mut stream: LineStream, answer: &Answer) -> Result<Option<Outcome>, HttpError> {
     while let Some(event) = stream.next_message().await? {
         match event {
@@ -145,18 +149,18 @@
             DecodeEvent::Token { n, text } if n == answer.tokens() => answer.push_token(text),
             DecodeEvent::Token { .. } => return Ok(None),
             DecodeEvent::End { tokens } if tokens == answer.tokens() => {
-                return Ok(Some(Outcome::Whole));
+                return Ok(Some(Outcome::Complete));
             }
             DecodeEvent::End { .. } => return Ok(None),
             DecodeEvent::Cancelled => {
-                return Ok(Some(Outcome::Lost("the engine cancelled it".to_owned())));
+                return Ok(Some(Outcome::Lost("the engine cancelled the run".to_owned())));
             }
         }
     }
     Ok(None)
 }
 
-/// Frees the engine's memory of a run; insists while the engine can be reached.
+/// Cancels a run at the engine, which frees its memory. Retries while the engine is reachable.
 async fn cancel(shared: &Shared, run: &str) {
     for _ in 0..MAX_RESUMES {
         match shared.engine.cancel(run).await {
@@ -165,5 +169,7 @@
             Err(_) => sleep(RETRY_PAUSE).await,
         }
     }
-    log::error!("{LOG} run {run} could not be cancelled; look at the engine");
+    log::error!(
+        "{LOG} run {run} could not be cancelled; check whether the engine still holds its memory"
+    );
 }
--- a/crates/bulrushusher_agent/src/slots.rs
+++ b/crates/bulrushusher_agent/src/slots.rs
@@ -1,4 +1,5 @@
-//! The desk: the gate with its clock, and the askers who wait for its answers.
+//! Slots of the endpoint: the admission controller with its clock, and the calls that wait for its
+//! replies.
 
 use std::collections::HashMap;
 
@@ -13,145 +14,146 @@
 
 use crate::LOG;
 
-type Answer = Result<Grant, Refusal>;
+type SlotReply = Result<Grant, Refusal>;
 
 #[derive(Debug)]
 struct Inner {
-    gate: AdmissionController,
-    askers: HashMap<SlotRequestId, oneshot::Sender<Answer>>,
-    next_ask: u64,
+    admission: AdmissionController,
+    waiters: HashMap<SlotRequestId, oneshot::Sender<SlotReply>>,
+    next_id: u64,
 }
 
-/// The gate, shared by the agent's tasks.
+/// The admission controller, shared by the agent's tasks.
 #[derive(Debug)]
-pub(crate) struct Desk {
+pub(crate) struct Slots {
     clock: Clock,
     inner: Mutex<Inner>,
 }
 
-impl Desk {
-    pub(crate) fn new(cfg: AdmissionConfig, clock: Clock) -> Desk {
-        let inner =
-            Inner { gate: AdmissionController::new(cfg), askers: HashMap::new(), next_ask: 1 };
-        Desk { clock, inner: Mutex::new(inner) }
+impl Slots {
+    pub(crate) fn new(cfg: AdmissionConfig, clock: Clock) -> Slots {
+        let admission = AdmissionController::new(cfg);
+        let inner = Inner { admission, waiters: HashMap::new(), next_id: 1 };
+        Slots { clock, inner: Mutex::new(inner) }
     }
 
-    /// Waits for a place. Dropping the future withdraws the request.
-    pub(crate) async fn reserve(&self, ask: &ReserveRequest) -> Answer {
-        let (id, rx) = self.ask(ask);
-        let mut waiting = Waiting { desk: self, id: Some(id) };
-        let answer = rx.await.unwrap_or(Err(Refusal::Leaving));
-        waiting.id = None;
-        answer
+    /// Waits for a slot. Dropping the future cancels the request.
+    pub(crate) async fn reserve(&self, req: &ReserveRequest) -> SlotReply {
+        let (id, rx) = self.request(req);
+        let mut queued = QueuedRequest { slots: self, id: Some(id) };
+        let reply = rx.await.unwrap_or(Err(Refusal::Leaving));
+        queued.id = None;
+        reply
     }
 
-    fn ask(&self, ask: &ReserveRequest) -> (SlotRequestId, oneshot::Receiver<Answer>) {
+    fn request(&self, req: &ReserveRequest) -> (SlotRequestId, oneshot::Receiver<SlotReply>) {
         let now = self.clock.now();
         let (tx, rx) = oneshot::channel();
         let mut inner = self.inner.lock();
-        let id = SlotRequestId(inner.next_ask);
-        inner.next_ask += 1;
-        inner.askers.insert(id, tx);
-        let start_by = now.plus(ask.start_within);
-        let late_start_by = now.plus(ask.late_within).max(start_by);
-        let ask = SlotRequest { id, start_by, late_start_by, wait_until: now.plus(ask.wait) };
-        let actions = inner.gate.request(ask, now);
-        inner.carry_out(actions, now);
+        let id = SlotRequestId(inner.next_id);
+        inner.next_id += 1;
+        inner.waiters.insert(id, tx);
+        let start_by = now.plus(req.start_within);
+        let late_start_by = now.plus(req.late_within).max(start_by);
+        let req = SlotRequest { id, start_by, late_start_by, wait_until: now.plus(req.wait) };
+        let actions = inner.admission.request(req, now);
+        inner.execute(actions, now);
         (id, rx)
     }
 
-    /// The order for a reservation came.
+    /// Starts a reservation, whose order has arrived.
     pub(crate) fn start(&self, id: ReservationId) -> Result<(), Refusal> {
-        self.inner.lock().gate.start(id, self.clock.now())
+        self.inner.lock().admission.start(id, self.clock.now())
     }
 
-    /// The work of a reservation ended, or it was given back.
-    pub(crate) fn finish(&self, id: ReservationId) {
+    /// Releases a reservation, started or not.
+    pub(crate) fn release(&self, id: ReservationId) {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
-        let actions = inner.gate.release(id, now);
-        inner.carry_out(actions, now);
+        let actions = inner.admission.release(id, now);
+        inner.execute(actions, now);
     }
 
-    /// Lets time pass for the gate.
+    /// Handles expired reservations and waits.
     pub(crate) fn tick(&self) {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
-        let actions = inner.gate.tick(now);
-        inner.carry_out(actions, now);
+        let actions = inner.admission.tick(now);
+        inner.execute(actions, now);
     }
 
-    pub(crate) fn set_leaving(&self, leaving: bool) {
+    pub(crate) fn set_draining(&self, draining: bool) {
         let now = self.clock.now();
         let mut inner = self.inner.lock();
-        let actions = inner.gate.set_draining(leaving);
-        inner.carry_out(actions, now);
+        let actions = inner.admission.set_draining(draining);
+        inner.execute(actions, now);
     }
 
-    /// The endpoint has refused work and wants none for that long.
-    pub(crate) fn back_off(&self, length: Millis) {
-        self.inner.lock().gate.back_off(length, self.clock.now());
+    /// Grants no slots for `duration`, as requested by the endpoint.
+    pub(crate) fn back_off(&self, duration: Millis) {
+        self.inner.lock().admission.back_off(duration, self.clock.now());
     }
 
-    pub(crate) fn is_leaving(&self) -> bool {
-        self.inner.lock().gate.is_draining()
+    pub(crate) fn is_draining(&self) -> bool {
+        self.inner.lock().admission.is_draining()
     }
 
-    /// Places held, started or not.
+    /// Slots in use: reservations, started or not.
     pub(crate) fn used(&self) -> usize {
-        self.inner.lock().gate.used()
+        self.inner.lock().admission.used()
     }
 
     pub(crate) fn load(&self) -> AgentLoad {
         let inner = self.inner.lock();
         AgentLoad {
-            used: inner.gate.used() as u32,
-            places: inner.gate.slots() as u32,
-            waiting: inner.gate.queued() as u32,
-            expected_wait: inner.gate.expected_wait(self.clock.now()),
+            used: inner.admission.used() as u32,
+            places: inner.admission.slots() as u32,
+            waiting: inner.admission.queued() as u32,
+            expected_wait: inner.admission.expected_wait(self.clock.now()),
         }
     }
 }
 
 impl Inner {
-    fn carry_out(&mut self, actions: Vec<AdmissionAction>, now: Millis) {
+    fn execute(&mut self, actions: Vec<AdmissionAction>, now: Millis) {
         for action in actions {
             match action {
-                AdmissionAction::Grant(ask, grant) => self.answer(ask, Ok(grant), now),
-                AdmissionAction::Refuse(ask, refusal) => self.answer(ask, Err(refusal), now),
+                AdmissionAction::Grant(id, grant) => self.reply(id, Ok(grant), now),
+                AdmissionAction::Refuse(id, refusal) => self.reply(id, Err(refusal), now),
                 AdmissionAction::Expired(id) => {
-                    log::info!("{LOG} reservation {id} lapsed without an order, place freed");
+                    log::info!("{LOG} reservation {id} expired without an order, slot released");
                 }
             }
         }
     }
 
-    fn answer(&mut self, ask: SlotRequestId, answer: Answer, now: Millis) {
-        let granted = answer.as_ref().ok().map(|grant| grant.id);
-        let Some(asker) = self.askers.remove(&ask) else { return };
-        let undelivered = asker.send(answer).is_err();
+    /// Sends a reply to its waiter; releases a granted slot whose waiter is gone.
+    fn reply(&mut self, id: SlotRequestId, reply: SlotReply, now: Millis) {
+        let granted = reply.as_ref().ok().map(|grant| grant.id);
+        let Some(waiter) = self.waiters.remove(&id) else { return };
+        let undelivered = waiter.send(reply).is_err();
         if let Some(id) = granted
             && undelivered
         {
-            let actions = self.gate.release(id, now);
-            self.carry_out(actions, now);
+            let actions = self.admission.release(id, now);
+            self.execute(actions, now);
         }
     }
 }
 
-/// Withdraws the request of an asker who went away.
-struct Waiting<'a> {
-    desk: &'a Desk,
+/// A queued request; cancelled if it is dropped before the reply.
+struct QueuedRequest<'a> {
+    slots: &'a Slots,
     id: Option<SlotRequestId>,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
         let Some(id) = self.id else { return };
-        let now = self.desk.clock.now();
-        let mut inner = self.desk.inner.lock();
-        inner.askers.remove(&id);
-        let actions = inner.gate.cancel(id, now);
-        inner.carry_out(actions, now);
+        let now = self.slots.clock.now();
+        let mut inner = self.slots.inner.lock();
+        inner.waiters.remove(&id);
+        let actions = inner.admission.cancel(id, now);
+        inner.execute(actions, now);
     }
 }
--- a/crates/bulrushusher_agent/src/streams.rs
+++ b/crates/bulrushusher_agent/src/streams.rs
@@ -1,4 +1,4 @@
-//! The stream listener: prefill, run and attach orders, each answered by a stream of frames.
+//! The stream server: prefill, run and attach orders, each answered with a stream of frames.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -15,10 +15,11 @@
 
 use crate::agent::Shared;
 use crate::answer::Answer;
-use crate::keys::Taken;
-use crate::{prefill, runner};
+use crate::keys::AcceptedOrder;
+use crate::{prefill, run};
 
-const BUFFER: usize = 64;
+/// Messages buffered per stream.
+const STREAM_BUFFER: usize = 64;
 const NDJSON: &str = "application/x-ndjson";
 
 pub(crate) fn routes(
@@ -39,68 +40,68 @@
 }
 
 async fn start_prefill(shared: Arc<Shared>, order: PrefillRun) -> Response {
-    let (tx, rx) = mpsc::channel(BUFFER);
+    let (tx, rx) = mpsc::channel(STREAM_BUFFER);
     tokio::spawn(prefill::run(shared, order, tx));
     stream_reply(rx, NDJSON)
 }
 
 async fn start_run(shared: Arc<Shared>, order: RunOrder) -> Response {
     let stream = order.stream.clone();
-    match take(&shared, order) {
+    match accept(&shared, order) {
         Ok(answer) => follow(shared, answer, stream, 0),
-        Err(not_taken) => refuse(not_taken),
+        Err(rejection) => reject(rejection),
     }
 }
 
-fn take(shared: &Arc<Shared>, order: RunOrder) -> Result<Arc<Answer>, OrderRejection> {
+fn accept(shared: &Arc<Shared>, order: RunOrder) -> Result<Arc<Answer>, OrderRejection> {
     if order.incarnation != shared.incarnation {
         return Err(OrderRejection::Refused { refusal: Refusal::NoReservation });
     }
     let start = || {
-        let started = shared.desk.start(order.reservation);
+        let started = shared.slots.start(order.reservation);
         started.map_err(|refusal| OrderRejection::Refused { refusal })
     };
     match shared.keys.order(&order, start) {
-        Ok(Taken::Run(answer)) => {
+        Ok(AcceptedOrder::Run(answer)) => {
             answer.attach(&order.stream);
-            tokio::spawn(runner::run(Arc::clone(shared), order, Arc::clone(&answer)));
+            tokio::spawn(run::run(Arc::clone(shared), order, Arc::clone(&answer)));
             Ok(answer)
         }
-        Ok(Taken::Attach(answer)) => {
-            shared.desk.finish(order.reservation);
+        Ok(AcceptedOrder::Attach(answer)) => {
+            shared.slots.release(order.reservation);
             answer.attach(&order.stream);
             Ok(answer)
         }
-        Err(not_taken) => {
-            shared.desk.finish(order.reservation);
-            Err(not_taken)
+        Err(rejection) => {
+            shared.slots.release(order.reservation);
+            Err(rejection)
         }
     }
 }
 
 async fn attach(shared: Arc<Shared>, order: AttachOrder) -> Response {
-    let give_up = || {
+    let revoke = || {
         if let Some(reservation) = order.revoke {
-            shared.desk.finish(reservation);
+            shared.slots.release(reservation);
         }
     };
-    match shared.keys.attach(&order.key, Millis(order.wait_ms), give_up).await {
+    match shared.keys.attach(&order.key, Millis(order.wait_ms), revoke).await {
         Ok(answer) => {
             answer.attach(&order.stream);
             follow(shared, answer, order.stream, order.from as usize)
         }
-        Err(not_taken) => refuse(not_taken),
+        Err(rejection) => reject(rejection),
     }
 }
 
-fn refuse(not_taken: OrderRejection) -> Response {
+fn reject(rejection: OrderRejection) -> Response {
     let (tx, rx) = mpsc::channel(1);
-    tx.try_send(json_line(&Frame::NotTaken(not_taken))).ok();
+    tx.try_send(json_line(&Frame::NotTaken(rejection))).ok();
     stream_reply(rx, NDJSON)
 }
 
 fn follow(shared: Arc<Shared>, answer: Arc<Answer>, stream: String, from: usize) -> Response {
-    let (tx, rx) = mpsc::channel(BUFFER);
+    let (tx, rx) = mpsc::channel(STREAM_BUFFER);
     tokio::spawn(async move {
         send_frames(&shared, &answer, from, &tx).await;
         answer.detach(&stream);
@@ -108,16 +109,17 @@
     stream_reply(rx, NDJSON)
 }
 
-/// Sends what comes of an answer, and heartbeats in between, until its end or the stream's.
+/// Sends the frames of an answer as they are added, and heartbeats while there are none, until the
+/// answer ends or the stream closes.
 async fn send_frames(shared: &Shared, answer: &Answer, from: usize, tx: &mpsc::Sender<Bytes>) {
     let mut next = from;
-    let beat = shared.cfg.heartbeat_interval.duration();
+    let heartbeat_interval = shared.cfg.heartbeat_interval.duration();
     loop {
         let changed = answer.changed.notified();
         let (frames, body, is_end) = answer.frames_from(next);
         if frames.is_empty() {
             let waited = tokio::select! {
-                waited = timeout(beat, changed) => waited,
+                waited = timeout(heartbeat_interval, changed) => waited,
                 () = tx.closed() => return,
             };
             if waited.is_err() && tx.send(json_line(&Frame::Beat)).await.is_err() {
