--- a/crates/bulrushusher_forward/src/lib.rs
+++ b/crates/bulrushusher_forward/src/lib.rs
@@ -5,9 +5,9 @@
 //! failed attempt, and on what a process still accepts during shutdown. Nothing here does I/O or
 //! reads a clock; callers pass in [`bulrushusher_time::Millis`] and random draws.
 
+mod attempt_plan;
 mod back_pressure;
 mod by_runner;
-mod choose;
 mod events;
 mod forecast;
 mod gateway_directory;
@@ -18,38 +18,36 @@
 mod memory;
 mod moves;
 mod normal;
-mod pace;
 mod pauses;
 mod peer_state;
+mod prefill_site;
+mod prefill_timing;
 mod rate_limit;
-mod read_pace;
-mod reading;
 mod relays;
 mod rendezvous;
-mod repeat;
 mod report;
 mod request;
-mod returns;
+mod retry_after;
 mod revision;
 mod route;
 mod routing_delta;
 mod runner;
 mod runner_changes;
 mod runner_directory;
+mod runner_selection;
 mod runs;
 mod shutdown;
 mod signals;
 mod stages;
 mod start_times;
-mod waiting;
+mod timing_model;
+mod wait_queue;
 
+pub use attempt_plan::{AttemptEnd, AttemptPlan, FinalAnswer, NextStep};
 pub use back_pressure::{
     BackPressure, BackPressureConfig, BackPressureCounts, BackPressureError, BackPressureView,
     LimitReport,
 };
-pub use choose::{
-    PlainSelection, SelectionContext, pick_for_call, pick_for_prefill, rank_for_decode,
-};
 pub use events::{CompleteEvents, EventSplitter};
 pub use forecast::{ForecastConfig, LengthModel, MemoryForecast, MemoryNeed, RunShape};
 pub use gateway_directory::{
@@ -60,16 +58,14 @@
 pub use long_poll::{LongPollConfig, SeenRevisions};
 pub use memory::{HoldConfig, tokens_to_hold};
 pub use moves::{MoveConfig, pick_for_move};
-pub use pace::{TimingConfig, TimingModel};
 pub use pauses::PauseModel;
+pub use prefill_site::{DecodeLoad, PrefillSite, PrefillSiteConfig, PrefillTask};
+pub use prefill_timing::PrefillTiming;
 pub use rate_limit::{RateLimit, RateLimitError};
-pub use read_pace::PrefillTiming;
-pub use reading::{DecodeLoad, PrefillSite, PrefillSiteConfig, PrefillTask};
 pub use relays::{RelayPeer, RelayView, Relays, RelaysConfig, StoreContact, StoreRole};
-pub use repeat::{AttemptEnd, AttemptPlan, FinalAnswer, NextStep};
 pub use report::{GatewayDelta, GatewayReport, RunReport};
 pub use request::{PromptSize, RequestId};
-pub use returns::{RetryAfterConfig, TypicalPatience};
+pub use retry_after::{RetryAfterConfig, TypicalPatience};
 pub use revision::{era_of, number_in_era, revision_in_era};
 pub use route::{
     CallerLimits, EngineSpec, Route, RouteKind, RoutingConfig, RoutingError, ServiceSpec,
@@ -81,12 +77,16 @@
     ChangeLog, DeltaPages, DeltaRequest, PageOutcome, RunnerChange, RunnerDelta,
 };
 pub use runner_directory::{DrainReport, RunnerDirectory, RunnerDirectoryConfig, RunnerListDiff};
+pub use runner_selection::{
+    PlainSelection, SelectionContext, pick_for_call, pick_for_prefill, rank_for_decode,
+};
 pub use runs::{DeltaOutcome, PeersConfig, RunNumber, Runs};
 pub use shutdown::{Shutdown, ShutdownConfig};
 pub use signals::RunnerSignals;
 pub use stages::{OrderLease, OrderLeaseConfig, StageChange, StagesConfig, next_stage_change};
 pub use start_times::{StartStatus, StartTimes};
-pub use waiting::{
+pub use timing_model::{TimingConfig, TimingModel};
+pub use wait_queue::{
     AccountCost, QueueOrder, QueueRank, WaitQueue, WaitQueueConfig, should_request_memory,
 };
 
