--- a/crates/bulrushusher_accounts/src/bucket.rs
+++ b/crates/bulrushusher_accounts/src/bucket.rs
@@ -26,14 +26,14 @@
 }
 
 impl Membership {
-    pub(crate) fn live_share(self) -> f64 {
+    pub(crate) fn live_fraction(self) -> f64 {
         self.live as f64 / self.gateways as f64
     }
 }
 
 /// This gateway's share of an account's quota.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Share {
+pub(crate) struct QuotaShare {
     /// Fraction of the quota that this gateway enforces against.
     pub weight: f64,
     pub membership: Membership,
@@ -177,7 +177,7 @@
     pub(crate) fn next_retry(
         &mut self,
         cfg: &QuotaConfig,
-        share: Share,
+        share: QuotaShare,
         shortfall: f64,
         cost: u64,
         now: Millis,
--- a/crates/bulrushusher_accounts/src/limiter.rs
+++ b/crates/bulrushusher_accounts/src/limiter.rs
@@ -12,7 +12,7 @@
 use bulrushusher_world::ClientAccountName;
 
 use crate::account::Quota;
-use crate::bucket::{Bucket, Membership, REPORTED_BELOW, Share};
+use crate::bucket::{Bucket, Membership, QuotaShare, REPORTED_BELOW};
 use crate::quota::{AccountUsage, OverQuota, QuotaConfig, Sharing};
 use crate::report::{AccountId, UsageCounter, UsageReport};
 
@@ -101,7 +101,7 @@
         now: Millis,
     ) {
         self.refresh(now);
-        let weight = self.membership.0.live_share();
+        let weight = self.membership.0.live_fraction();
         for (account, quota) in accounts {
             let is_new = self.ensure_tracked(account);
             let Some(bucket) = self.buckets.get_mut(account) else { continue };
@@ -140,7 +140,7 @@
             let missing = bucket.shortfall(&cfg, quota, weight, cost as f64);
             if missing > 0.0 {
                 bucket.refused += cost;
-                let share = Share { weight, membership };
+                let share = QuotaShare { weight, membership };
                 let retry_after = bucket.next_retry(&cfg, share, missing, cost, now);
                 let Membership { live: live_gateways, gateways } = membership;
                 let per_second = quota.per_second;
@@ -244,7 +244,7 @@
     /// Deducts the usage that another gateway has added since its counter was `before`. Not called
     /// for usage while that gateway was silent: this one kept to its own share in the meantime.
     fn deduct(&mut self, counter: &UsageCounter, before: u64, now: Millis) {
-        let (cfg, weight) = (self.cfg, self.membership.0.live_share());
+        let (cfg, weight) = (self.cfg, self.membership.0.live_fraction());
         let Some(name) = self.names.get(&counter.account) else { return };
         let Some(bucket) = self.buckets.get_mut(name) else { return };
         let Some(quota) = bucket.quota else { return };
@@ -337,7 +337,7 @@
     /// window by now, so buckets get the units that they would hold had they started full.
     fn finish_start(&mut self, now: Millis) {
         self.is_synced = true;
-        let weight = self.membership.0.live_share();
+        let weight = self.membership.0.live_fraction();
         for bucket in self.buckets.values_mut() {
             bucket.refill(&self.cfg, weight, now);
             let capacity = bucket.quota.map_or(0.0, |quota| self.cfg.capacity(quota));
@@ -349,7 +349,7 @@
     /// to use their share, and their usage since the last report is unknown, also shortly after a
     /// restart of all gateways.
     fn deduct_silent(&mut self, share: f64, now: Millis) {
-        let (cfg, weight) = (self.cfg, self.membership.0.live_share());
+        let (cfg, weight) = (self.cfg, self.membership.0.live_fraction());
         if cfg.sharing != Sharing::Told {
             return;
         }
@@ -374,7 +374,7 @@
         let even = 1.0 / self.membership.0.gateways as f64;
         match self.cfg.sharing {
             Sharing::Fixed(_) | Sharing::Even => even,
-            Sharing::Told => self.membership.0.live_share(),
+            Sharing::Told => self.membership.0.live_fraction(),
             Sharing::ByDemand => {
                 let window = self.cfg.window;
                 let Some(bucket) = self.buckets.get_mut(account) else { return even };
--- a/crates/bulrushusher_forward/src/back_pressure.rs
+++ b/crates/bulrushusher_forward/src/back_pressure.rs
@@ -12,7 +12,7 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-use crate::limit_share::{LimitBucket, Share, Sharers};
+use crate::limit_share::{LimitBucket, LimitShare, Sharers};
 use crate::{RateLimit, Runner, RunnerSignals, StartTime};
 
 /// Lifetimes of signals.
@@ -349,7 +349,7 @@
         let sharers = Sharers { own: &self.own, reporting: &reporting, all: self.announced + 1 };
         for (id, entry) in &mut self.runners {
             if let Some(limit) = &mut entry.limit {
-                limit.set_share(Share::of(limit.limit, id, &sharers), now);
+                limit.set_share(LimitShare::of(limit.limit, id, &sharers), now);
             }
         }
     }
@@ -411,7 +411,7 @@
                 }
             }
             (Some(signalled), None) if entry.limit_ended_at.is_none_or(|ended| at > ended) => {
-                let no_share = Share::none();
+                let no_share = LimitShare::none();
                 entry.limit = Some(LimitBucket::new(signalled, no_share, at, now));
                 entry.limit_ended_at = None;
                 self.shares_computed_at = None;
--- a/crates/bulrushusher_forward/src/by_runner.rs
+++ b/crates/bulrushusher_forward/src/by_runner.rs
@@ -51,7 +51,7 @@
     }
 
     /// Invalidates the cached need after a change of the runs.
-    pub(crate) fn invalidate_need(&self) {
+    pub(crate) fn invalidate_memory_need(&self) {
         self.need.set(None);
     }
 
@@ -109,7 +109,7 @@
         let moved =
             previous.runs.iter().filter(|run| changed.iter().any(|it| it.number == run.number));
         for run in moved.chain(changed.iter().copied()).chain(ended) {
-            self.entry(&run.runner).invalidate_need();
+            self.entry(&run.runner).invalidate_memory_need();
         }
         self.remove_empty(previous.runners());
     }
@@ -130,11 +130,11 @@
         for run in removed {
             let state = self.entry(&run.runner);
             state.runs.retain(|reported| reported.by != by || reported.value.number != run.number);
-            state.invalidate_need();
+            state.invalidate_memory_need();
         }
         self.insert(by, delta, at);
         for run in &delta.runs {
-            self.entry(&run.runner).invalidate_need();
+            self.entry(&run.runner).invalidate_memory_need();
         }
         self.remove_empty(previous.runners().chain(removed.iter().map(|run| &run.runner)));
     }
@@ -167,7 +167,7 @@
     pub(crate) fn remove_own(&mut self, runner: &RunnerId, run: RunNumber) {
         let Some(state) = self.0.get_mut(runner) else { return };
         state.own.retain(|number| *number != run);
-        state.invalidate_need();
+        state.invalidate_memory_need();
         self.remove_empty(std::iter::once(runner));
     }
 }
--- a/crates/bulrushusher_forward/src/forecast.rs
+++ b/crates/bulrushusher_forward/src/forecast.rs
@@ -106,7 +106,7 @@
     /// Standard deviations above the mean that must fit.
     pub caution: f64,
     /// Share of a runner's memory that forecasts may use.
-    pub fill: f64,
+    pub max_fill: f64,
 }
 
 impl Default for ForecastConfig {
@@ -115,7 +115,7 @@
     /// runs on time were 392, 656, 716 and 687. The unfilled part covers the blocks in which memory
     /// is allocated and runs that other gateways started within the last milliseconds.
     fn default() -> ForecastConfig {
-        ForecastConfig { caution: 2.5, fill: 0.92 }
+        ForecastConfig { caution: 2.5, max_fill: 0.92 }
     }
 }
 
@@ -135,7 +135,7 @@
 impl MemoryForecast {
     /// Memory that forecasts may use, in tokens.
     pub fn room(&self) -> f64 {
-        self.memory * self.cfg.fill
+        self.memory * self.cfg.max_fill
     }
 
     /// Memory that `runs` will need over the next seconds. Needs are additive: the need of a
--- a/crates/bulrushusher_forward/src/lib.rs
+++ b/crates/bulrushusher_forward/src/lib.rs
@@ -78,7 +78,7 @@
 };
 pub use runner_directory::{DrainReport, RunnerDirectory, RunnerDirectoryConfig, RunnerListDiff};
 pub use runner_selection::{
-    PlainSelection, SelectionContext, pick_for_call, pick_for_prefill, rank_for_decode,
+    CallSelection, SelectionContext, pick_for_call, pick_for_prefill, rank_for_decode,
 };
 pub use runs::{DeltaOutcome, PeersConfig, RunNumber, Runs};
 pub use shutdown::{Shutdown, ShutdownConfig};
--- a/crates/bulrushusher_forward/src/limit_share.rs
+++ b/crates/bulrushusher_forward/src/limit_share.rs
@@ -37,19 +37,19 @@
 
 /// One gateway's share of a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Share {
+pub(crate) struct LimitShare {
     per_second: f64,
     burst: f64,
 }
 
-impl Share {
+impl LimitShare {
     /// No share: nothing may be sent.
-    pub(crate) fn none() -> Share {
-        Share { per_second: 0.0, burst: 0.0 }
+    pub(crate) fn none() -> LimitShare {
+        LimitShare { per_second: 0.0, burst: 0.0 }
     }
 
     /// The share of the gateway `sharers.own`.
-    pub(crate) fn of(limit: RateLimit, runner: &RunnerId, sharers: &Sharers<'_>) -> Share {
+    pub(crate) fn of(limit: RateLimit, runner: &RunnerId, sharers: &Sharers<'_>) -> LimitShare {
         let limit = limit.per_second();
         let reporting = sharers.reporting.len() + 1;
         let sharer_count = ((limit + EXTRA_SHARERS) as usize).clamp(1, reporting);
@@ -59,11 +59,11 @@
             sharers.own,
             sharers.reporting.iter().copied(),
         ) {
-            return Share::none();
+            return LimitShare::none();
         }
         let reporting_share = reporting as f64 / sharers.all.max(reporting) as f64;
         let per_second = limit * reporting_share / sharer_count as f64;
-        Share { per_second, burst: MIN_BURST.max(per_second * BURST_S) }
+        LimitShare { per_second, burst: MIN_BURST.max(per_second * BURST_S) }
     }
 }
 
@@ -73,7 +73,7 @@
     pub limit: RateLimit,
     /// Time of the last known signal of the limit.
     pub signalled_at: Millis,
-    share: Share,
+    share: LimitShare,
     /// Requests that may be sent now; negative after requests that could not be withheld.
     tokens: f64,
     refilled_at: Millis,
@@ -85,7 +85,7 @@
     /// Starts empty, because all gateways learn of a new limit at about the same time.
     pub(crate) fn new(
         limit: RateLimit,
-        share: Share,
+        share: LimitShare,
         signalled_at: Millis,
         now: Millis,
     ) -> LimitBucket {
@@ -99,7 +99,7 @@
     }
 
     /// Replaces the share from `now` on.
-    pub(crate) fn set_share(&mut self, share: Share, now: Millis) {
+    pub(crate) fn set_share(&mut self, share: LimitShare, now: Millis) {
         self.tokens = self.tokens_at(now).min(share.burst);
         self.refilled_at = now;
         self.share = share;
--- a/crates/bulrushusher_forward/src/moves.rs
+++ b/crates/bulrushusher_forward/src/moves.rs
@@ -17,9 +17,9 @@
     /// How far ahead a runner's memory use is extrapolated.
     pub look_ahead: Millis,
     /// Share of the memory that runs may use at that time.
-    pub fill: f64,
+    pub max_fill: f64,
     /// Share of the target runner's memory that the forecast may use.
-    pub target_fill: f64,
+    pub max_target_fill: f64,
     /// Standard deviations above the mean need that must fit at the target.
     pub target_caution: f64,
 }
@@ -30,7 +30,12 @@
     /// per run and the estimated growth of peers' runs since their last report. The target keeps
     /// enough room that the run does not soon have to move again.
     fn default() -> MoveConfig {
-        MoveConfig { look_ahead: Millis(200), fill: 0.98, target_fill: 0.95, target_caution: 1.0 }
+        MoveConfig {
+            look_ahead: Millis(200),
+            max_fill: 0.98,
+            max_target_fill: 0.95,
+            target_caution: 1.0,
+        }
     }
 }
 
@@ -62,7 +67,7 @@
     /// ```
     pub fn overflows_soon(&self, at_runner: &MemoryNeed, cfg: MoveConfig) -> bool {
         let growth = cfg.look_ahead.0 as f64 * self.tokens_per_ms * at_runner.runs as f64;
-        at_runner.runs > 1 && at_runner.now + growth > self.memory * cfg.fill
+        at_runner.runs > 1 && at_runner.now + growth > self.memory * cfg.max_fill
     }
 
     /// Forecast peak of a target runner with the moved run; `None` if the run does not fit.
@@ -72,7 +77,8 @@
         run: &MemoryNeed,
         cfg: MoveConfig,
     ) -> Option<f64> {
-        let target_cfg = ForecastConfig { caution: cfg.target_caution, fill: cfg.target_fill };
+        let target_cfg =
+            ForecastConfig { caution: cfg.target_caution, max_fill: cfg.max_target_fill };
         MemoryForecast { cfg: target_cfg, ..*self }.peak_if_it_fits(at_runner, run)
     }
 }
@@ -80,7 +86,7 @@
 impl Runs {
     /// The run, if it should move now: its runner is about to run out of memory and would preempt
     /// it.
-    pub fn due_to_move(
+    pub fn run_due_to_move(
         &self,
         run: RunNumber,
         forecast: &MemoryForecast,
--- a/crates/bulrushusher_forward/src/prefill_site.rs
+++ b/crates/bulrushusher_forward/src/prefill_site.rs
@@ -31,7 +31,7 @@
     /// Pauses that prefills cause for other runs.
     pub pauses: PauseModel,
     /// Mean duration of a generation.
-    pub generation: Millis,
+    pub generation_time: Millis,
     /// Time left until the response-time target.
     pub time_to_target: Millis,
 }
@@ -99,7 +99,7 @@
             (decode.prefilling_tokens + self.tokens) as f64 * self.decode_timing.ms_per_token();
         let pause = prefill_ms + self.event_gap.0 as f64;
         let late_share = self.pauses.late_share(pause, self.gap_target.0 as f64);
-        let delayed = decode.fullness.powi(4) * prefill_ms / self.generation.0.max(1) as f64;
+        let delayed = decode.fullness.powi(4) * prefill_ms / self.generation_time.0.max(1) as f64;
         decode.runs as f64 * (late_share + delayed)
     }
 
@@ -120,7 +120,7 @@
     ///     event_gap: Millis(50),
     ///     gap_target: Millis(300),
     ///     pauses: PauseModel::default(),
-    ///     generation: Millis(4_000),
+    ///     generation_time: Millis(4_000),
     ///     time_to_target: Millis(800),
     /// };
     /// let busy = DecodeLoad { prefilling_tokens: 0, runs: 7, fullness: 0.5 };
--- a/crates/bulrushusher_forward/src/runner_selection.rs
+++ b/crates/bulrushusher_forward/src/runner_selection.rs
@@ -38,7 +38,7 @@
 
 /// Parameters of a selection for a plain call.
 #[derive(Clone, Copy, Debug)]
-pub struct PlainSelection<'a> {
+pub struct CallSelection<'a> {
     /// Runners that the request was already sent to.
     pub tried: &'a [RunnerId],
     /// The data centre of this gateway.
@@ -52,7 +52,7 @@
 const LOCAL_COST_FACTOR: f64 = 0.95;
 
 /// Selects the runner with the lowest expected response time for a plain call.
-pub fn pick_for_call(cx: SelectionContext<'_>, selection: PlainSelection<'_>) -> Option<Runner> {
+pub fn pick_for_call(cx: SelectionContext<'_>, selection: CallSelection<'_>) -> Option<Runner> {
     let untried = |r: &&Runner| !selection.tried.contains(&r.id);
     let usable: Vec<&Runner> = cx.open().filter(untried).collect();
     let pool = without_full(cx, without_unreachable_or_failing(cx, usable));
--- a/crates/bulrushusher_forward/src/runs.rs
+++ b/crates/bulrushusher_forward/src/runs.rs
@@ -117,7 +117,7 @@
         let run = RunNumber(self.last_run);
         let state = self.by_runner.entry(&report.runner);
         state.own.push(run);
-        state.invalidate_need();
+        state.invalidate_memory_need();
         self.own.insert(run, report);
         run
     }
@@ -130,7 +130,7 @@
     }
 
     /// Prompt tokens that a decode runner is currently prefilling itself.
-    pub fn self_prefill_tokens(&self, runner: &RunnerId, now: Millis) -> u64 {
+    pub fn decode_prefill_tokens(&self, runner: &RunnerId, now: Millis) -> u64 {
         let of_peers = self.runs_of_peers(runner, now).map(|reported| &reported.value);
         let is_prefilling = |report: &&RunReport| report.prefills_itself && !report.is_generating;
         self.own_at(runner).chain(of_peers).filter(is_prefilling).map(|report| report.prompt).sum()
--- a/crates/bulrushusher_forward/src/timing_model.rs
+++ b/crates/bulrushusher_forward/src/timing_model.rs
@@ -14,7 +14,7 @@
     /// Initial generation rate of a run, in tokens per ms.
     pub initial_tokens_per_ms: f64,
     /// Initial duration of a generation.
-    pub initial_generation: Millis,
+    pub initial_generation_time: Millis,
     /// A prefill that takes this many times its expected duration is considered lost.
     pub prefill_timeout_factor: f64,
     /// Added to that, for a short queue at the runner.
@@ -32,7 +32,7 @@
             initial_prefill_ms_per_token: 0.02,
             initial_decode_prefill_factor: 2.0,
             initial_tokens_per_ms: 1.4,
-            initial_generation: Millis(5_000),
+            initial_generation_time: Millis(5_000),
             prefill_timeout_factor: 2.5,
             prefill_timeout_slack: Millis(200),
             newest_weight: 0.1,
@@ -52,7 +52,7 @@
 ///     timing.record_generation(Millis(3_000), 4_000, 4_000);
 /// }
 /// assert!(timing.prefill_timeout(5_000) > Millis(600));
-/// assert!(timing.generation_upper_bound() < Millis(4_500));
+/// assert!(timing.generation_time_upper_bound() < Millis(4_500));
 /// ```
 #[derive(Clone, Debug)]
 pub struct TimingModel {
@@ -80,7 +80,7 @@
             pauses: PauseModel::default(),
             tokens_per_ms: cfg.initial_tokens_per_ms,
             lengths: LengthModel::default(),
-            generation_ms: cfg.initial_generation.0 as f64 / GENERATION_UPPER_BOUND_FACTOR,
+            generation_ms: cfg.initial_generation_time.0 as f64 / GENERATION_UPPER_BOUND_FACTOR,
         }
     }
 
@@ -166,12 +166,12 @@
     }
 
     /// Mean duration of a generation.
-    pub fn mean_generation(&self) -> Millis {
+    pub fn mean_generation_time(&self) -> Millis {
         Millis(self.generation_ms as u64)
     }
 
     /// Duration within which nearly all generations end.
-    pub fn generation_upper_bound(&self) -> Millis {
+    pub fn generation_time_upper_bound(&self) -> Millis {
         Millis((self.generation_ms * GENERATION_UPPER_BOUND_FACTOR) as u64)
     }
 }
--- a/crates/bulrushusher_forward/tests/fuzz.rs
+++ b/crates/bulrushusher_forward/tests/fuzz.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bulrushusher_forward::{
-    AttemptEnd, AttemptPlan, EventSplitter, FinalAnswer, NextStep, PlainSelection, RouteKind,
+    AttemptEnd, AttemptPlan, CallSelection, EventSplitter, FinalAnswer, NextStep, RouteKind,
     Runner, RunnerDirectory, RunnerDirectoryConfig, RunnerLoads, Shutdown, ShutdownConfig,
     pick_for_call,
 };
@@ -301,7 +301,7 @@
                 now,
             };
             let near = "dc-1".try_into().unwrap();
-            let picked = pick_for_call(cx, PlainSelection { tried: &[], data_centre: &near, draw });
+            let picked = pick_for_call(cx, CallSelection { tried: &[], data_centre: &near, draw });
             if let Some(picked) = &picked {
                 let may = store.may_work(&picked.id, now, cfg.return_grace);
                 prop_assert!(may, "{:?} got work after {event:?}", picked.id);
--- a/crates/bulrushusher_forward/tests/plain_calls.rs
+++ b/crates/bulrushusher_forward/tests/plain_calls.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use bulrushusher_forward::{
-    CallResult, LoadConfig, PlainSelection, Runner, RunnerDirectory, RunnerDirectoryConfig,
+    CallResult, CallSelection, LoadConfig, Runner, RunnerDirectory, RunnerDirectoryConfig,
     RunnerLoads, SelectionContext, pick_for_call,
 };
 use bulrushusher_time::Millis;
@@ -55,8 +55,7 @@
             pressure: None,
             now,
         };
-        let pick =
-            PlainSelection { tried: &[], data_centre: &data_centre, draw: self.rng.random() };
+        let pick = CallSelection { tried: &[], data_centre: &data_centre, draw: self.rng.random() };
         pick_for_call(cx, pick).expect("the pool has runners").id
     }
 }
--- a/crates/bulrushusher_gateway/src/knowledge/memory.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/memory.rs
@@ -40,7 +40,7 @@
                 let peak = forecast.peak_if_it_fits(&there, &run)?;
                 let may_read = |prompt: &PrefillTask| {
                     prompt.decode_may_prefill(DecodeLoad {
-                        prefilling_tokens: runs.self_prefill_tokens(&runner.id, cx.now),
+                        prefilling_tokens: runs.decode_prefill_tokens(&runner.id, cx.now),
                         runs: there.runs,
                         fullness: forecast.fullness(peak),
                     })
@@ -228,7 +228,7 @@
         let runs = self.runs.lock();
         let there = runs.need_at(runner, &forecast, now);
         DecodeLoad {
-            prefilling_tokens: runs.self_prefill_tokens(runner, now),
+            prefilling_tokens: runs.decode_prefill_tokens(runner, now),
             runs: there.runs.saturating_sub(1),
             fullness: forecast.fullness(forecast.peak(&there)),
         }
--- a/crates/bulrushusher_gateway/src/knowledge/mod.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/mod.rs
@@ -12,7 +12,7 @@
 use bulrushusher_accounts::{AccountTable, ConfigLease, QuotaLimiter};
 use bulrushusher_forward::{
     AccountCost, AttemptEnd, AttemptPlan, BackPressure, BackPressureConfig, BackPressureView,
-    CallResult, EngineSpec, HealthConfig, NextStep, PeersConfig, PlainSelection, QueueRank,
+    CallResult, CallSelection, EngineSpec, HealthConfig, NextStep, PeersConfig, QueueRank,
     RelayView, Route, RoutingConfig, Runner, RunnerDirectory, RunnerHealth, RunnerLoads, Runs,
     SelectionContext, TimingConfig, TimingModel, TypicalPatience, WaitQueue, pick_for_call,
     pick_for_prefill,
@@ -224,7 +224,7 @@
         tried: &[RunnerId],
         near: &DataCentreName,
     ) -> Option<Runner> {
-        let pick = PlainSelection { tried, data_centre: near, draw: self.draw() };
+        let pick = CallSelection { tried, data_centre: near, draw: self.draw() };
         let draw = self.draw();
         self.with_runners(|runners, now| {
             let pressure = self.pressure_at(now);
--- a/crates/bulrushusher_gateway/src/knowledge/moves.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/moves.rs
@@ -24,7 +24,7 @@
             return RunFate::Stays;
         }
         let forecast = self.forecast(service);
-        let is_due = self.runs.lock().due_to_move(run, &forecast, self.now()).cloned();
+        let is_due = self.runs.lock().run_due_to_move(run, &forecast, self.now()).cloned();
         let Some(note) = is_due else { return RunFate::Stays };
         let draw = self.draw();
         match self.with_pool(service, |cx, runs| pick_for_move(cx, runs, &forecast, &note, draw)) {
--- a/crates/bulrushusher_gateway/src/knowledge/pauses.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/pauses.rs
@@ -77,7 +77,7 @@
 
     /// A decode runner begins to read a prompt.
     pub(crate) fn watch_reading(self: &Arc<Self>, runner: &Runner) -> ReadingWatch {
-        let reading = self.runs.lock().self_prefill_tokens(&runner.id, self.now());
+        let reading = self.runs.lock().decode_prefill_tokens(&runner.id, self.now());
         self.pauses.lock().entry(runner.id.clone()).or_default().readings += 1;
         let knowledge = self.clone();
         ReadingWatch { knowledge, runner: runner.id.clone(), began: self.now(), reading }
--- a/crates/bulrushusher_gateway/src/placement/reading.rs
+++ b/crates/bulrushusher_gateway/src/placement/reading.rs
@@ -94,7 +94,7 @@
         event_gap: Millis((per_event / pace.tokens_per_ms()) as u64),
         gap_target: fwd.route.gap_target,
         pauses: pace.pauses(),
-        generation: pace.mean_generation(),
+        generation_time: pace.mean_generation_time(),
         time_to_target: fwd.left_on_time(cx.now()),
     })
 }
--- a/crates/bulrushusher_gateway/src/settings.rs
+++ b/crates/bulrushusher_gateway/src/settings.rs
@@ -353,7 +353,7 @@
             holds: HoldConfig { per_expected_output: values.real("holds", "per_expected_output") },
             forecast: ForecastConfig {
                 caution: values.real("forecast", "caution"),
-                fill: values.real("forecast", "fill"),
+                max_fill: values.real("forecast", "fill"),
             },
             caution_with_moves: values.real("forecast", "caution_with_moves"),
             stages: StagesConfig {
--- a/crates/bulrushusher_model/src/moving.rs
+++ b/crates/bulrushusher_model/src/moving.rs
@@ -25,7 +25,7 @@
         let State::Running { run, .. } = self.callers[caller].state else { return None };
         let gateway = &self.gateways[self.callers[caller].gateway];
         let forecast = self.forecast_of(gateway);
-        let note = gateway.runs.due_to_move(run, &forecast, now)?;
+        let note = gateway.runs.run_due_to_move(run, &forecast, now)?;
         let failing = self.failing(gateway, now);
         let draw = self.rng.random();
         let candidate = self.candidate(&failing, now);
--- a/crates/bulrushusher_model/src/readers.rs
+++ b/crates/bulrushusher_model/src/readers.rs
@@ -250,7 +250,7 @@
             event_gap: Millis(event_gap as u64),
             gap_target: Millis(GAP_TARGET_MS as u64),
             pauses: self.pace.pauses(),
-            generation: GENERATION,
+            generation_time: GENERATION,
             time_to_target: Millis(left as u64),
         };
         let load = DecodeLoad {
--- a/crates/bulrushusher_model/tests/patterns.rs
+++ b/crates/bulrushusher_model/tests/patterns.rs
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_bold_forecast_preempts_what_it_admits() {
-    let bold = ForecastConfig { caution: 0.5, fill: 1.0 };
+    let bold = ForecastConfig { caution: 0.5, max_fill: 1.0 };
     let bold = Fleet { admission: Admission::Forecast(bold), ..forecast() };
     let (ours, bold) = (played(Pattern::Overload, forecast()), played(Pattern::Overload, bold));
     assert!(bold.preempted > 3 * ours.preempted, "{ours:?} {bold:?}");
