--- a/crates/bulrushusher_accounts/src/bucket.rs
+++ b/crates/bulrushusher_accounts/src/bucket.rs
@@ -26,6 +26,7 @@
 }
 
 impl Membership {
+    /// Fraction of the gateways that have reported recently.
     pub(crate) fn live_fraction(self) -> f64 {
         self.live as f64 / self.gateways as f64
     }
--- a/crates/bulrushusher_accounts/src/table.rs
+++ b/crates/bulrushusher_accounts/src/table.rs
@@ -76,7 +76,7 @@
         Ok(())
     }
 
-    /// The account that a key belongs to.
+    /// The account that an API key belongs to.
     pub fn find(&self, key: KeyDigest) -> Option<&Arc<Account>> {
         let candidates = self.by_prefix.get(&key.prefix())?;
         candidates.iter().find(|(digest, _)| *digest == key).map(|(_, account)| account)
--- a/crates/bulrushusher_admission/src/refusal.rs
+++ b/crates/bulrushusher_admission/src/refusal.rs
@@ -1,4 +1,5 @@
-//! Reasons for which an agent refuses an order. A refused order was not run.
+//! Reasons for which an agent refuses an order, that is, an entry's request to run something. A
+//! refused order was not run.
 
 use bulrushusher_time::Millis;
 use derive_more::{Display, Error};
--- a/crates/bulrushusher_forward/src/back_pressure.rs
+++ b/crates/bulrushusher_forward/src/back_pressure.rs
@@ -18,16 +18,17 @@
 /// Lifetimes of signals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackPressureConfig {
-    /// Silence after which another gateway loses its share of rate limits.
+    /// Time without reports after which another gateway loses its share of runners' rate limits.
     pub gateway_timeout: Millis,
-    /// How long a limit outlives the last answer that contained it, because answers may arrive out
-    /// of order.
+    /// How long a runner's rate limit outlives the last answer that contained it, because answers
+    /// may arrive out of order.
     pub limit_linger: Millis,
-    /// Age of a limit's last signal after which one request may probe whether it still applies.
+    /// Age of a rate limit's last signal after which one request may probe whether the limit still
+    /// applies.
     pub limit_stale_after: Millis,
     /// How long such a probe, or the first request after a backoff, holds back other requests.
     pub probe_timeout: Millis,
-    /// How long gateways report the end of a limit to one another.
+    /// How long gateways report the end of a rate limit to one another.
     pub limit_end_report_time: Millis,
     /// Maximum backoff that one answer can request.
     pub max_backoff: Millis,
@@ -82,7 +83,7 @@
     }
 }
 
-/// Number of runners under back-pressure.
+/// Numbers of runners whose back-pressure restricts this gateway's requests, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BackPressureCounts {
     /// Runners that signal a rate limit.
@@ -223,7 +224,7 @@
         before
     }
 
-    /// Merges limits reported by another gateway.
+    /// Merges rate limits of runners that another gateway reported.
     pub fn merge_reports(&mut self, reports: &[LimitReport], now: Millis) {
         for report in reports {
             if self.entry_for_start(&report.runner, report.born).is_some() {
@@ -232,7 +233,8 @@
         }
     }
 
-    /// The limits to report to the other gateways.
+    /// The rate limits of runners to report to the other gateways, including limits that ended
+    /// recently.
     pub fn reports(&self, now: Millis) -> Vec<LimitReport> {
         let report = |(runner, entry): (&RunnerId, &RunnerEntry)| {
             let ended =
@@ -309,7 +311,8 @@
         }
     }
 
-    /// Charges requests that are sent regardless of back-pressure.
+    /// Charges requests that are sent regardless of back-pressure to this gateway's share of the
+    /// runner's rate limit.
     pub fn charge(&mut self, runner: &Runner, requests: u32, now: Millis) {
         if let Some(limit) = self.entry_mut(runner).and_then(|entry| entry.limit.as_mut()) {
             limit.charge(f64::from(requests), now);
@@ -359,7 +362,7 @@
         self.runners.is_empty()
     }
 
-    /// Number of runners under back-pressure.
+    /// Numbers of runners whose back-pressure restricts this gateway's requests, by kind.
     pub fn counts(&self, now: Millis) -> BackPressureCounts {
         let limited = self.runners.values().filter(|entry| entry.limit.is_some()).count();
         let is_backing_off =
--- a/crates/bulrushusher_forward/src/by_runner.rs
+++ b/crates/bulrushusher_forward/src/by_runner.rs
@@ -20,9 +20,8 @@
     pub value: T,
 }
 
-/// How long a computed memory need is extrapolated previous it is recomputed, if the set of runs
-/// stays the same. In a burst, a gateway prefill_tokens the need of each runner a hundred times a
-/// second.
+/// How long a computed memory need is extrapolated before it is recomputed, if the set of runs
+/// stays the same. In a burst, a gateway reads the need of each runner a hundred times a second.
 const NEED_CACHE_TTL: Millis = Millis(30);
 
 /// Runs and reported state of one runner.
@@ -50,7 +49,7 @@
         need.after(now.since(at))
     }
 
-    /// Invalidates the cached need after a change of the runs.
+    /// Invalidates the cached memory need after a change of the runs.
     pub(crate) fn invalidate_memory_need(&self) {
         self.need.set(None);
     }
@@ -105,7 +104,7 @@
         }
         self.insert(by, report, at);
         let (changed, ended) = report.diff(previous);
-        // A moved run is no longer at its former runner, whose need delta too.
+        // A moved run is no longer at its former runner, whose memory need changes too.
         let moved =
             previous.runs.iter().filter(|run| changed.iter().any(|it| it.number == run.number));
         for run in moved.chain(changed.iter().copied()).chain(ended) {
--- a/crates/bulrushusher_forward/src/forecast.rs
+++ b/crates/bulrushusher_forward/src/forecast.rs
@@ -103,9 +103,9 @@
 /// Safety margins of a forecast.
 #[derive(Clone, Copy, Debug)]
 pub struct ForecastConfig {
-    /// Standard deviations above the mean that must fit.
+    /// Standard deviations above the mean memory need that must fit.
     pub caution: f64,
-    /// Share of a runner's memory that forecasts may use.
+    /// Share of a runner's memory up to which the forecast peak of its runs may rise.
     pub max_fill: f64,
 }
 
@@ -133,7 +133,7 @@
 }
 
 impl MemoryForecast {
-    /// Memory that forecasts may use, in tokens.
+    /// Upper limit of the forecast peak of a runner's memory use, in tokens.
     pub fn room(&self) -> f64 {
         self.memory * self.cfg.max_fill
     }
@@ -149,7 +149,7 @@
         need.peak(self.cfg.caution)
     }
 
-    /// Share of the usable memory that `peak` takes, in `0.0..=1.0`.
+    /// The forecast `peak` as a share of [`MemoryForecast::room`], in `0.0..=1.0`.
     pub fn fullness(&self, peak: f64) -> f64 {
         (peak / self.room()).clamp(0.0, 1.0)
     }
--- a/crates/bulrushusher_forward/src/gateway_directory.rs
+++ b/crates/bulrushusher_forward/src/gateway_directory.rs
@@ -16,7 +16,8 @@
 pub struct GatewayDirectoryConfig {
     /// Time after its last message or discovery during which a gateway is sent each change.
     pub active_for: Millis,
-    /// Silence after which an announcement is removed.
+    /// Time without a message, or a new or renewed announcement, of a gateway after which its
+    /// announcement is removed from the store.
     pub gone_after: Millis,
     /// Maximum number of known gateways; beyond it the one silent for longest is evicted.
     pub max_gateways: usize,
@@ -73,7 +74,7 @@
 pub struct AnnouncementDiff {
     /// Gateways that are new, or announce a new address.
     pub discovered: Vec<GatewayAnnouncement>,
-    /// True when this gateway's own announcement is missing.
+    /// True when the list read from the store lacks this gateway's own announcement.
     pub own_is_missing: bool,
 }
 
--- a/crates/bulrushusher_forward/src/lib.rs
+++ b/crates/bulrushusher_forward/src/lib.rs
@@ -1,9 +1,14 @@
 //! Decisions for forwarded requests, independent of the protocol by which they arrived.
 //!
-//! A forwarded request has an opaque body and is sent to a runner unchanged. This crate decides on
-//! its route and runner, on waiting or refusal, on the decode memory to reserve, on retries after a
-//! failed attempt, and on what a process still accepts during shutdown. Nothing here does I/O or
-//! reads a clock; callers pass in [`bulrushusher_time::Millis`] and random draws.
+//! A forwarded request has an opaque body and is sent to a runner unchanged. It is either a plain
+//! call or a *generation*: text that a language model generates, answered as a stream of events. A
+//! prefill runner computes the KV cache of the prompt, and a decode runner generates the tokens in
+//! a *run*, which takes up some of its memory.
+//!
+//! This crate decides on a request's route and runner, on waiting or refusal, on the decode memory
+//! to reserve, on retries after a failed attempt, and on what a process still accepts during
+//! shutdown. Nothing here does I/O or reads a clock; callers pass in [`bulrushusher_time::Millis`]
+//! and random draws.
 
 mod attempt_plan;
 mod back_pressure;
--- a/crates/bulrushusher_forward/src/limit_share.rs
+++ b/crates/bulrushusher_forward/src/limit_share.rs
@@ -23,7 +23,7 @@
 /// not block the gateway's share for long.
 const MAX_DEBT_S: f64 = 4.0;
 
-/// Gateways that may share a limit, as seen by one of them.
+/// Gateways that may share a runner's rate limit, as seen by one of them.
 #[derive(Clone, Debug)]
 pub(crate) struct Sharers<'a> {
     /// This gateway.
@@ -35,7 +35,7 @@
     pub all: usize,
 }
 
-/// One gateway's share of a limit.
+/// One gateway's share of a runner's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LimitShare {
     per_second: f64,
--- a/crates/bulrushusher_forward/src/load.rs
+++ b/crates/bulrushusher_forward/src/load.rs
@@ -5,7 +5,8 @@
 use bulrushusher_time::Millis;
 use bulrushusher_world::RunnerId;
 
-/// Weights and pauses applied to call results.
+/// How the results of calls change a runner's load estimate, and how long failed calls keep further
+/// calls away from it.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadConfig {
     /// Weight of the newest result in the moving averages.
--- a/crates/bulrushusher_forward/src/long_poll.rs
+++ b/crates/bulrushusher_forward/src/long_poll.rs
@@ -8,7 +8,8 @@
 use bulrushusher_time::Millis;
 use serde::{Deserialize, Serialize};
 
-/// Latest store revisions that a gateway has seen, by topic and including the era.
+/// Latest store revisions that a gateway has seen, by topic. Each is combined with the era (the
+/// number of times the store was restored), see [`crate::revision_in_era`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeenRevisions {
     /// Revision of the last configuration change.
@@ -36,7 +37,8 @@
 pub struct LongPollConfig {
     /// Minimum number of live peers for a longer poll.
     pub min_peers: usize,
-    /// Answers that all gateways together get during the poll duration of a single one.
+    /// Number of long polls that the store should answer, over all gateways together, in the time
+    /// that the poll of a gateway without peers lasts (`alone` in [`LongPollConfig::wait`]).
     pub answers_per_wait: f64,
     /// Maximum poll duration.
     pub max_wait: Millis,
--- a/crates/bulrushusher_forward/src/memory.rs
+++ b/crates/bulrushusher_forward/src/memory.rs
@@ -1,4 +1,4 @@
-//! Size of the decode memory hold of a generation.
+//! Size of the hold on a decode runner's memory for a text generation.
 
 use crate::PromptSize;
 
--- a/crates/bulrushusher_forward/src/moves.rs
+++ b/crates/bulrushusher_forward/src/moves.rs
@@ -1,4 +1,5 @@
-//! When a run moves away from a decode runner that is about to run out of memory, and its target.
+//! When a run moves away from a decode runner that is about to run out of memory, and to which
+//! other decode runner, its destination.
 //!
 //! An engine without free memory preempts its newest run, which then stalls for seconds and repeats
 //! its prefill. Where the engine can move a run with its KV cache, that run continues at a runner
@@ -16,25 +17,26 @@
 pub struct MoveConfig {
     /// How far ahead a runner's memory use is extrapolated.
     pub look_ahead: Millis,
-    /// Share of the memory that runs may use at that time.
+    /// Share of the runner's memory that its runs may use at that time without a move.
     pub max_fill: f64,
-    /// Share of the target runner's memory that the forecast may use.
-    pub max_target_fill: f64,
-    /// Standard deviations above the mean need that must fit at the target.
-    pub target_caution: f64,
+    /// Share of the destination runner's memory up to which its forecast peak may rise with the
+    /// moved run.
+    pub max_destination_fill: f64,
+    /// Standard deviations above the mean memory need that must fit at the destination runner.
+    pub destination_caution: f64,
 }
 
 impl Default for MoveConfig {
     /// A move takes two calls of a few milliseconds each, and peers learn of it a few milliseconds
     /// later; 200 ms leave room for one retry. Two percent of the memory cover the half block lost
-    /// per run and the estimated growth of peers' runs since their last report. The target keeps
-    /// enough room that the run does not soon have to move again.
+    /// per run and the estimated growth of peers' runs since their last report. The destination
+    /// keeps enough room that the run does not soon have to move again.
     fn default() -> MoveConfig {
         MoveConfig {
             look_ahead: Millis(200),
             max_fill: 0.98,
-            max_target_fill: 0.95,
-            target_caution: 1.0,
+            max_destination_fill: 0.95,
+            destination_caution: 1.0,
         }
     }
 }
@@ -70,16 +72,16 @@
         at_runner.runs > 1 && at_runner.now + growth > self.memory * cfg.max_fill
     }
 
-    /// Forecast peak of a target runner with the moved run; `None` if the run does not fit.
+    /// Forecast peak of a destination runner with the moved run; `None` if the run does not fit.
     pub fn peak_after_move(
         &self,
         at_runner: &MemoryNeed,
         run: &MemoryNeed,
         cfg: MoveConfig,
     ) -> Option<f64> {
-        let target_cfg =
-            ForecastConfig { caution: cfg.target_caution, max_fill: cfg.max_target_fill };
-        MemoryForecast { cfg: target_cfg, ..*self }.peak_if_it_fits(at_runner, run)
+        let destination_cfg =
+            ForecastConfig { caution: cfg.destination_caution, max_fill: cfg.max_destination_fill };
+        MemoryForecast { cfg: destination_cfg, ..*self }.peak_if_it_fits(at_runner, run)
     }
 }
 
--- a/crates/bulrushusher_forward/src/pauses.rs
+++ b/crates/bulrushusher_forward/src/pauses.rs
@@ -48,7 +48,7 @@
     }
 
     /// Share of the runs that pause for longer than `target_ms` if an uninterrupted prefill takes
-    /// `uninterrupted_ms`; 0 without a target_ms.
+    /// `uninterrupted_ms`; 0 without a target, that is, if `target_ms` is zero.
     pub fn late_share(&self, uninterrupted_ms: f64, target_ms: f64) -> f64 {
         if target_ms <= 0.0 || uninterrupted_ms <= 0.0 {
             return 0.0;
--- a/crates/bulrushusher_forward/src/peer_state.rs
+++ b/crates/bulrushusher_forward/src/peer_state.rs
@@ -1,4 +1,5 @@
-//! State of peers other than their runs: store contact, waiting generations, failing runners.
+//! State of peers other than their runs: store contact, text generations that wait for memory,
+//! failing runners.
 
 use std::collections::BTreeMap;
 
@@ -36,12 +37,14 @@
             .fold(SeenRevisions::default(), |seen, peer| seen.max(peer.report.seen_revisions))
     }
 
-    /// True while a peer has a waiting generation that can still meet its target.
+    /// True while a peer has a text generation that waits for decode memory and can still meet its
+    /// response-time target.
     pub fn peers_have_on_time_waiting(&self, now: Millis) -> bool {
         self.live_peers(now).any(|peer| peer.report.waiting > 0)
     }
 
-    /// Number of peers with waiting generations, late ones included.
+    /// Number of peers with text generations that wait for decode memory, including generations
+    /// that can no longer meet their target.
     pub fn peers_with_waiting(&self, now: Millis) -> usize {
         let waits = |report: &GatewayReport| report.waiting + report.waiting_late > 0;
         self.live_peers(now).filter(|peer| waits(&peer.report)).count()
--- a/crates/bulrushusher_forward/src/prefill_site.rs
+++ b/crates/bulrushusher_forward/src/prefill_site.rs
@@ -1,4 +1,4 @@
-//! Where the prefill of a generation runs.
+//! Where the prefill of a text generation runs.
 
 use bulrushusher_time::Millis;
 
@@ -30,7 +30,7 @@
     pub gap_target: Millis,
     /// Pauses that prefills cause for other runs.
     pub pauses: PauseModel,
-    /// Mean duration of a generation.
+    /// Mean duration of a text generation.
     pub generation_time: Millis,
     /// Time left until the response-time target.
     pub time_to_target: Millis,
@@ -43,8 +43,8 @@
     pub prefilling_tokens: u64,
     /// Other runs at the decode runner.
     pub runs: usize,
-    /// Share of its memory that its runs are forecast to need. If all of it is needed, delaying
-    /// these runs costs other callers their place.
+    /// Share of its memory that its runs are forecast to need. If they need all of it, a delay of
+    /// these runs keeps other requests waiting for memory.
     pub fullness: f64,
 }
 
@@ -66,13 +66,15 @@
     }
 }
 
-/// Maximum cost of a prefill at a decode runner, in generations: runs that a pause makes late, and
-/// runs that could have used the time while its memory is in demand. One generation served on time
-/// offsets one made late; the difference to 1 is a margin for what is not known.
+/// Maximum cost of a prefill at a decode runner, in text generations: other runs there that its
+/// pause makes late, and generations that could have been served in the time by which it delays
+/// these runs, as far as the runner's memory is in demand. One generation served on time offsets
+/// one made late; the difference to 1 is a margin for errors of the estimate.
 const MAX_DECODE_COST: f64 = 0.4;
 
-/// The same where a prefill runner would be in time too and is only kept free for longer prompts:
-/// close to zero. With more, a pool of 27 gateways lost 0.015 to 0.02 of its score to pauses.
+/// The same limit where a prefill runner would be in time too and is only kept free for longer
+/// prompts: close to zero. With more, a pool of 27 gateways lost 0.015 to 0.02 of its score to
+/// pauses.
 const MAX_DECODE_COST_TO_SPARE: f64 = 0.02;
 
 impl PrefillTask {
--- a/crates/bulrushusher_forward/src/relays.rs
+++ b/crates/bulrushusher_forward/src/relays.rs
@@ -46,8 +46,8 @@
     pub min_watching: usize,
     /// Number of relays that forward each change to a listening gateway.
     pub relays_per_listener: usize,
-    /// Silence after which a peer is not counted, and how long a gateway keeps listening while too
-    /// few peers watch.
+    /// Time without messages after which a peer is not counted, and how long a gateway keeps
+    /// listening while too few peers watch.
     pub silent_after: Millis,
 }
 
@@ -90,7 +90,7 @@
     pub contact: StoreContact,
 }
 
-/// Result of the selection, as seen by one gateway.
+/// The part that one gateway takes in relaying store changes, with the relays that it knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayView {
     /// How this gateway receives changes.
--- a/crates/bulrushusher_forward/src/report.rs
+++ b/crates/bulrushusher_forward/src/report.rs
@@ -87,15 +87,16 @@
     pub incarnation: u64,
     /// Sequence number of the report; a report that arrives after a later one is dropped.
     pub sequence: u64,
-    /// Generations that wait for memory and can still meet their target.
+    /// Text generations that wait for decode memory and can still meet their response-time target.
     pub waiting: u32,
-    /// Generations that wait for memory and are already late.
+    /// Text generations that wait for decode memory and can no longer meet their target.
     pub waiting_late: u32,
     /// The gateway's runs.
     pub runs: Vec<RunReport>,
     /// Prompt tokens that the gateway has in flight at prefill runners.
     pub prefill_tokens: Vec<(RunnerId, u64)>,
-    /// Runners that are switching stage by an order of this gateway, or of others known to it.
+    /// Runners that are switching stage because this gateway ordered it, or because another did
+    /// as far as this gateway knows.
     pub switching_stage: Vec<RunnerId>,
     /// Success and failure counts of runners with failed runs.
     pub failing: Vec<RunCounts>,
@@ -171,7 +172,8 @@
 ///
 /// ```
 /// use bulrushusher_forward::{GatewayDelta, GatewayReport, RunReport, RunShape};
-/// let shape = RunShape { prompt: 5_000.0, generated: 0.0, expected: 3_000.0, max_output: 9_000.0 };
+/// let shape =
+///     RunShape { prompt: 5_000.0, generated: 0.0, expected: 3_000.0, max_output: 9_000.0 };
 /// let run = RunReport { number: 1, ..RunReport::new("i-1".try_into().unwrap(), shape) };
 /// let before = GatewayReport { sequence: 1, runs: vec![run.clone()], ..GatewayReport::default() };
 /// let grown = GatewayReport {
--- a/crates/bulrushusher_forward/src/route.rs
+++ b/crates/bulrushusher_forward/src/route.rs
@@ -18,7 +18,7 @@
     /// A call that may run at most once.
     #[display("non-idempotent")]
     NonIdempotent,
-    /// A generation, answered as a stream of events.
+    /// A text generation, answered as a stream of events.
     #[display("stream")]
     Stream {
         /// True when another run may continue after the last complete event.
@@ -51,9 +51,9 @@
 pub struct Route {
     /// Its name.
     pub name: RouteName,
-    /// Host name in the requests.
+    /// Host name that a request must have for the route to apply; upper and lower case are equal.
     pub host: Arc<str>,
-    /// Path prefix in the requests.
+    /// Prefix that the path of a request must have for the route to apply.
     pub path_start: Arc<str>,
     /// Whether requests may be repeated, and how they are answered.
     pub kind: RouteKind,
@@ -101,7 +101,7 @@
     pub kv_retention: Millis,
     /// Maximum lease on decode memory.
     pub max_hold: Millis,
-    /// How long a runner is unavailable while it switches its stage.
+    /// How long a runner is unavailable while it switches between the prefill and decode stages.
     pub switch_time: Millis,
     /// True where a run can move to another decode runner together with its memory.
     pub can_move_runs: bool,
--- a/crates/bulrushusher_forward/src/routing_delta.rs
+++ b/crates/bulrushusher_forward/src/routing_delta.rs
@@ -16,7 +16,7 @@
 pub struct RoutingDelta {
     /// Version of the configuration that the delta applies to.
     pub from: u64,
-    /// Version of the resulting configuration.
+    /// Version of the configuration after the delta is applied.
     pub version: u64,
     limits: CallerLimits,
     services: Vec<ServiceSpec>,
--- a/crates/bulrushusher_forward/src/runner.rs
+++ b/crates/bulrushusher_forward/src/runner.rs
@@ -6,7 +6,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// The stage of a generation that a model runner serves.
+/// The stage of text generations that a model runner serves.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Stage {
     /// Computes the KV cache of prompts.
--- a/crates/bulrushusher_forward/src/runner_directory.rs
+++ b/crates/bulrushusher_forward/src/runner_directory.rs
@@ -12,7 +12,8 @@
 /// Time limits of the runner directory.
 #[derive(Clone, Copy, Debug)]
 pub struct RunnerDirectoryConfig {
-    /// Store silence after which entries may have lapsed although their runners are alive.
+    /// Time without answers of the store after which entries may have lapsed although their runners
+    /// are alive.
     pub outage_after: Millis,
     /// How long a lapsed entry stays usable once the store answers again.
     pub return_grace: Millis,
@@ -39,7 +40,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Listing {
     Listed,
-    /// Missing from the list around a store outage; usable until then unless it is listed again.
+    /// Missing from the list around a store outage; its runner is used up to the time `until`, or
+    /// for longer if it is listed again by then.
     Lapsed {
         until: Millis,
     },
@@ -79,7 +81,7 @@
 /// runners.store_answered(Millis(0));
 /// runners.put(runner.clone());
 /// runners.remove(&runner.id, Millis(100));
-/// assert!(runners.get(&runner.id, Millis(100)).is_none(), "removed while the store was well");
+/// assert!(runners.get(&runner.id, Millis(100)).is_none(), "removed while the store answered");
 /// ```
 #[derive(Clone, Debug)]
 pub struct RunnerDirectory {
@@ -173,8 +175,8 @@
         self.is_restored = true;
     }
 
-    /// Records an answer of the store; returns the length of the silence before it if that was an
-    /// outage.
+    /// Records an answer of the store; returns for how long the store had not answered before, if
+    /// that was an outage.
     pub fn store_answered(&mut self, now: Millis) -> Option<Millis> {
         self.store_answered_after(Millis(0), now)
     }
@@ -200,7 +202,8 @@
         outage
     }
 
-    /// Starts measuring the store's silence: this gateway sent it no requests before `now`.
+    /// Starts measuring the time without answers of the store: this gateway sent it no requests
+    /// before `now`.
     pub fn begin_store_polling(&mut self, now: Millis) {
         self.last_answer = Some(now);
     }
--- a/crates/bulrushusher_forward/src/runner_selection.rs
+++ b/crates/bulrushusher_forward/src/runner_selection.rs
@@ -36,7 +36,8 @@
     }
 }
 
-/// Parameters of a selection for a plain call.
+/// Parameters of the selection of a runner for a plain call, that is, a request that is not a text
+/// generation.
 #[derive(Clone, Copy, Debug)]
 pub struct CallSelection<'a> {
     /// Runners that the request was already sent to.
--- a/crates/bulrushusher_forward/src/runs.rs
+++ b/crates/bulrushusher_forward/src/runs.rs
@@ -15,7 +15,7 @@
 /// Limits on the use of peers' reports.
 #[derive(Clone, Copy, Debug)]
 pub struct PeersConfig {
-    /// Silence after which a peer's report is ignored.
+    /// Time without messages after which a peer's report is ignored.
     pub forget_after: Millis,
 }
 
@@ -129,7 +129,8 @@
         }
     }
 
-    /// Prompt tokens that a decode runner is currently prefilling itself.
+    /// Prompt tokens that a decode runner is currently prefilling itself, instead of a prefill
+    /// runner.
     pub fn decode_prefill_tokens(&self, runner: &RunnerId, now: Millis) -> u64 {
         let of_peers = self.runs_of_peers(runner, now).map(|reported| &reported.value);
         let is_prefilling = |report: &&RunReport| report.prefills_itself && !report.is_generating;
--- a/crates/bulrushusher_forward/src/stages.rs
+++ b/crates/bulrushusher_forward/src/stages.rs
@@ -140,16 +140,18 @@
         })
 }
 
-/// Timing of the order lease.
+/// Timing of the lease that lets one gateway at a time order runners to change their stage.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderLeaseConfig {
-    /// Minimum time between orders of two holders, measured at the runners.
+    /// Minimum time between the stage-change orders of two lease holders, measured at the runners.
     pub lease: Millis,
-    /// Maximum time from the write that permits an order to the arrival of the order.
+    /// Maximum time from the write of the lease record, which permits one order, to the arrival of
+    /// that order at its runner.
     pub max_order_delay: Millis,
 }
 
-/// Decides whether this gateway may write the lease record, which permits it one order.
+/// Decides whether this gateway may write the lease record in the store. Each write permits one
+/// order to a runner to change its stage.
 ///
 /// There is no heartbeat: every order is preceded by a conditional write of the record, and the new
 /// revision is the fencing token of the order. A gateway that was not the last writer waits until
--- a/crates/bulrushusher_forward/src/timing_model.rs
+++ b/crates/bulrushusher_forward/src/timing_model.rs
@@ -13,11 +13,11 @@
     pub initial_decode_prefill_factor: f64,
     /// Initial generation rate of a run, in tokens per ms.
     pub initial_tokens_per_ms: f64,
-    /// Initial duration of a generation.
+    /// Initial duration of a text generation.
     pub initial_generation_time: Millis,
     /// A prefill that takes this many times its expected duration is considered lost.
     pub prefill_timeout_factor: f64,
-    /// Added to that, for a short queue at the runner.
+    /// Added to the expected duration times this factor, for a short queue at the runner.
     pub prefill_timeout_slack: Millis,
     /// Weight of the newest observation.
     pub newest_weight: f64,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Estimates of one service.
+/// Estimates of prefill and generation times at the runners of one service.
 ///
 /// ```
 /// use bulrushusher_forward::{TimingConfig, TimingModel};
@@ -65,7 +65,7 @@
     lengths: LengthModel,
 }
 
-/// Ratio of the duration within which nearly all generations end to the mean.
+/// Duration within which nearly all generations end, as a multiple of the mean duration.
 const GENERATION_UPPER_BOUND_FACTOR: f64 = 1.4;
 
 impl TimingModel {
@@ -165,7 +165,7 @@
         1.0 - self.lengths.survival(run, tokens)
     }
 
-    /// Mean duration of a generation.
+    /// Mean duration of a text generation.
     pub fn mean_generation_time(&self) -> Millis {
         Millis(self.generation_ms as u64)
     }
--- a/crates/bulrushusher_forward/src/wait_queue.rs
+++ b/crates/bulrushusher_forward/src/wait_queue.rs
@@ -1,4 +1,4 @@
-//! Queue of generations that wait for decode memory, and the limits of the wait.
+//! Queue of text generations that wait for memory of a decode runner, and the limits of the wait.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -11,7 +11,7 @@
     /// First come, first served.
     Arrival,
     /// Fair queueing over client accounts, weighted by the cost of their requests: an account with
-    /// many requests delays only its own.
+    /// many requests delays only its own requests.
     Account,
 }
 
@@ -20,7 +20,7 @@
 pub struct AccountCost<'a> {
     /// The client account; requests without one form a single flow.
     pub account: Option<&'a ClientAccountName>,
-    /// Cost of the request within its account's share.
+    /// Cost of the request, in units of the account's quota; 0 without an account.
     pub cost: u64,
 }
 
@@ -53,13 +53,13 @@
     }
 }
 
-/// Whether this gateway requests memory now, while generations also wait at `others` gateways and
-/// `open` runners appear to have room.
+/// Whether this gateway requests memory now, while text generations also wait at `others` other
+/// gateways and `open` decode runners appear to have free memory.
 ///
 /// All gateways see freed memory at once. If each of them requested it, a runner's memory would be
-/// given out several times before their reports are exchanged. So each one requests with a
-/// probability of its share, and on average one gateway requests per open runner. `draw` is a
-/// random number in `0.0..1.0`.
+/// given out several times before their reports are exchanged. So each one requests with the
+/// probability `open / (others + 1)`, and on average one gateway requests per open runner. `draw`
+/// is a random number in `0.0..1.0`.
 ///
 /// ```
 /// use bulrushusher_forward::should_request_memory;
--- a/crates/bulrushusher_forward/tests/plain_calls.rs
+++ b/crates/bulrushusher_forward/tests/plain_calls.rs
@@ -93,8 +93,8 @@
     pool.pick();
 }
 
-/// A burst arrives just after a third runner joined two that take 60 ms: the new runner gets a fair
-/// share of the burst, but not all of it.
+/// A burst of calls arrives just after a third runner joined two whose mean response time is 60 ms.
+/// The new runner, which has not answered any call yet, gets between a sixth and half of the calls.
 #[test]
 fn a_new_runner_gets_its_share_of_a_burst() {
     let mut pool = Pool::new(3);
--- a/crates/bulrushusher_forward/tests/relays.rs
+++ b/crates/bulrushusher_forward/tests/relays.rs
@@ -286,7 +286,8 @@
     }
 }
 
-/// Store calls of a settled fleet while `changes` runners register one by one.
+/// Number of calls to the store by a settled fleet of `size` gateways while `changes` runners
+/// register one by one.
 fn calls_for(size: usize, changes: usize) -> usize {
     let mut fleet = Fleet::new(size, 0.0, 1);
     fleet.run(6_000);
--- a/crates/bulrushusher_once/src/ballot.rs
+++ b/crates/bulrushusher_once/src/ballot.rs
@@ -4,7 +4,8 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// The precedence of one attempt to run a key. A higher ballot bars all lower ones.
+/// The precedence of one attempt to run a key. An agent that has promised a ballot for a key
+/// refuses orders for it at lower ballots.
 ///
 /// ```
 /// use bulrushusher_once::{Ballot, Owner};
@@ -23,7 +24,7 @@
     #[default]
     #[display("home")]
     Home,
-    /// An attempt made after a bar round.
+    /// An attempt made after a bar round ([`crate::BarRound`]).
     #[display("{number}/{owner}")]
     Barred {
         /// Increases with each bar round.
--- a/crates/bulrushusher_once/src/bar.rs
+++ b/crates/bulrushusher_once/src/bar.rs
@@ -1,4 +1,5 @@
-//! The bar round: an entry finds out whether a key ran at any agent.
+//! The bar round: an entry obtains from all agents the promise to refuse a key at lower ballots,
+//! and finds out whether the key ran at any of them.
 
 use std::collections::BTreeSet;
 
@@ -19,11 +20,11 @@
     Unknown,
     /// An agent has a later endpoint list, of that revision: fetch it and bar again.
     StaleList(u64),
-    /// An agent's table is full and did not record the bar: retry later.
+    /// An agent's table is full, so that it could not record the promise: retry later.
     TableFull,
 }
 
-/// One agent's reply to a bar.
+/// One agent's reply to a request to bar a key, that is, to refuse it at lower ballots.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentBarReply {
     /// From the agent's executor table.
@@ -34,7 +35,8 @@
     pub revision: u64,
 }
 
-/// One bar round. Collects each agent's reply and derives the verdict.
+/// One bar round: requests that all agents refuse the key at lower ballots. Collects each agent's
+/// reply and derives the verdict.
 ///
 /// A key's home does not execute it, so an unreachable home does not block the round, provided
 /// that no other list and no other attempt can be involved: every other agent has the same list
--- a/crates/bulrushusher_once/src/coverage.rs
+++ b/crates/bulrushusher_once/src/coverage.rs
@@ -26,7 +26,8 @@
 /// What the absence of a record means for a key of a given age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyAge {
-    /// The key is younger than the process's records: no record means never seen.
+    /// The key is younger than the process's records: if it has no record, the process never saw
+    /// it.
     Covered,
     /// The key may be older than the process's records, or its time lies in the future.
     InDoubt,
@@ -34,7 +35,8 @@
     TooOld,
 }
 
-/// The time span that a process's records cover. Within it, no record means never seen.
+/// The period that a process's records cover. A key created within it that has no record was never
+/// seen by the process.
 #[derive(Clone, Copy, Debug)]
 pub struct RecordCoverage {
     /// When the process started to keep records, Unix time.
@@ -46,7 +48,7 @@
 }
 
 impl RecordCoverage {
-    /// Whether "no record" means "never seen" for a key created at `time`.
+    /// Whether the absence of a record proves that the process never saw a key created at `time`.
     ///
     /// A key without a time is covered once records have been kept for longer than
     /// [`RecordCoverage::retention`].
--- a/crates/bulrushusher_once/src/executor.rs
+++ b/crates/bulrushusher_once/src/executor.rs
@@ -1,4 +1,5 @@
-//! The executor table of an agent: keys that ran or were barred at its endpoint.
+//! The executor table of an agent: keys that ran at its endpoint, and keys that were barred there,
+//! that is, are refused at lower ballots.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -12,11 +13,12 @@
 /// Limits of an executor table.
 #[derive(Clone, Copy, Debug)]
 pub struct ExecutorConfig {
-    /// Maximum number of records; further orders and bars of new keys are refused.
+    /// Maximum number of records; further orders and requests to bar are refused for new keys.
     pub max_records: usize,
     /// Maximum total size of retained finished answers, in bytes; the oldest are dropped first.
     pub max_answer_bytes: usize,
-    /// The time span for which no record means never seen.
+    /// The period that the records cover: a key created within it that has no record was never
+    /// seen at this endpoint.
     pub coverage: RecordCoverage,
 }
 
@@ -41,14 +43,14 @@
     Failed,
 }
 
-/// The reply to an order to run a key.
+/// The reply to an order, that is, an entry's request that this agent run a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderReply {
     /// Run it now; the key is recorded as running.
     Run,
     /// The key ran or is running here already; attach to the run or replay its answer.
     AlreadyRan(RunStatus),
-    /// Another ballot was promised for the key; not run by this order.
+    /// Another ballot was promised for the key, so that this order was refused; not run by it.
     Barred(Ballot),
     /// The key may be older than this agent's records; not run by this order.
     InDoubt,
@@ -58,7 +60,8 @@
     TableFull,
 }
 
-/// The executor table's part of the reply to a bar.
+/// The executor table's part of the reply to a request to bar a key, that is, to refuse it at lower
+/// ballots.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BarReply {
@@ -75,13 +78,14 @@
     CannotSay,
     /// A higher ballot was promised before.
     Higher(Ballot),
-    /// The table is full; the bar was not recorded.
+    /// The table is full, so that the promise to refuse lower ballots was not recorded.
     TableFull,
 }
 
 #[derive(Clone, Debug)]
 enum State {
-    /// `covered`: no record meant never seen when the key was barred.
+    /// Orders at lower ballots are refused. `covered` is true if, when the key was barred, the
+    /// absence of a record proved that it had not run here.
     Barred {
         ballot: Ballot,
         covered: bool,
@@ -138,7 +142,8 @@
     }
 
     /// Records that this endpoint joined the list of its service. Keys older than `now` are in
-    /// doubt from then on: they may have been barred without this endpoint and have run elsewhere.
+    /// doubt from then on: an entry may have barred them at the other agents only, and have run
+    /// them elsewhere.
     pub fn joined(&mut self, now: Millis) {
         self.cfg.coverage.since = self.cfg.coverage.since.max(now);
     }
--- a/crates/bulrushusher_once/src/home.rs
+++ b/crates/bulrushusher_once/src/home.rs
@@ -15,9 +15,10 @@
 /// Limits of a home table.
 #[derive(Clone, Copy, Debug)]
 pub struct HomeConfig {
-    /// Maximum number of records; further claims and bars are refused.
+    /// Maximum number of records; further claims and requests to bar a key are refused.
     pub max_records: usize,
-    /// The time span for which no record means never assigned.
+    /// The period that the records cover: a key created within it that has no record was never
+    /// assigned to an executor.
     pub coverage: RecordCoverage,
 }
 
@@ -29,9 +30,11 @@
     Recorded,
     /// The key is assigned to another executor; attach there.
     Held(EndpointName),
-    /// The key may be older than this home's records, or may have had another home; bar it.
+    /// The key may be older than this home's records, may have had another home, or was barred: it
+    /// needs a bar round ([`crate::BarRound`]).
     InDoubt,
-    /// By this agent's list the agent is not the key's home, or the claim used another revision.
+    /// The entry's claim uses another revision of the endpoint list than this agent, or the list
+    /// of this agent names another endpoint as the key's home.
     OtherList {
         /// The revision of this agent's list.
         revision: u64,
@@ -42,7 +45,8 @@
     TableFull,
 }
 
-/// The home table's part of the reply to a bar.
+/// The home table's part of the reply to a request to bar a key, that is, to refuse it at lower
+/// ballots.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HomeBarReply {
@@ -65,7 +69,7 @@
     /// The revision directly before this one; 0 if the sender may have missed a revision in
     /// between.
     pub previous: u64,
-    /// Endpoints that may run keys.
+    /// Endpoints that may run requests of the service.
     pub executors: Vec<EndpointName>,
     /// Endpoints that were removed from the list within the retry horizon.
     pub departed: Vec<EndpointName>,
@@ -109,7 +113,7 @@
 enum Claim {
     /// The key was assigned to that executor.
     Given(EndpointName),
-    /// The key was barred before it was assigned.
+    /// The key was barred before it was assigned, so no claim assigns it any more.
     Barred,
 }
 
@@ -250,10 +254,10 @@
         }
     }
 
-    /// Bars a key: from now on no claim assigns it.
+    /// Bars a key: from now on no claim assigns it to an executor.
     ///
     /// # Errors
-    /// [`TableFull`] if the bar could not be recorded.
+    /// [`TableFull`] if there is no room to record that the key is barred.
     pub fn bar(&mut self, key: &RequestKey, now: Millis) -> Result<HomeBarReply, TableFull> {
         self.remove_expired(now);
         match self.records.get(key).cloned() {
--- a/crates/bulrushusher_once/src/lib.rs
+++ b/crates/bulrushusher_once/src/lib.rs
@@ -1,4 +1,5 @@
-//! At-most-once execution of request keys, with no store on the request path.
+//! At-most-once execution of requests, with no store on the request path. A *key* identifies a
+//! request; to run a key is to run the request that it identifies.
 //!
 //! An agent is the process next to one endpoint; an entry accepts requests and dispatches them to
 //! agents. A run is a decode or a call of a plain service. The protocol has three parts, none of
@@ -8,8 +9,9 @@
 //! - the *home* table ([`HomeTable`]): the agent that comes first for a key in rendezvous order is
 //!   the key's home and records which executor the key was assigned to;
 //! - the *bar* round ([`BarRound`]), run by an entry when the home is unreachable or its records
-//!   may be incomplete: like the prepare phase of Paxos, it obtains a promise to refuse lower
-//!   ballots from every agent that may have run the key.
+//!   may be incomplete. To *bar* a key at a ballot is to make an agent promise that it refuses
+//!   orders for the key at lower ballots, and report whether the key ran there. As in the prepare
+//!   phase of Paxos, a round bars the key at every agent that may have run it.
 
 mod ballot;
 mod bar;
--- a/crates/bulrushusher_once/src/records.rs
+++ b/crates/bulrushusher_once/src/records.rs
@@ -15,7 +15,8 @@
     pub max_keys: usize,
     /// Maximum total size of retained finished answers, in bytes.
     pub max_answer_bytes: usize,
-    /// The time span for which no record means never seen.
+    /// The period that the records cover: a key created within it that has no record was never
+    /// seen by this agent.
     pub coverage: RecordCoverage,
 }
 
@@ -41,7 +42,7 @@
     executor: ExecutorTable,
     home: HomeTable,
     executors: Vec<EndpointName>,
-    /// The highest list revision seen in bars.
+    /// The highest list revision received with requests to bar a key.
     seen_revision: u64,
 }
 
@@ -79,9 +80,9 @@
         self.executor.is_in_doubt(key, now)
     }
 
-    /// Handles an order to run `key`. `shared` is true if the caller chose the key, so that other
-    /// requests may use it too. The home of a shared key does not run it, so that the loss of the
-    /// home alone does not make it unknown whether the key ran.
+    /// Handles an entry's order to run `key`. `shared` is true if the caller chose the key, so that
+    /// other requests may use it too. The home of a shared key does not run it, so that the loss of
+    /// the home alone does not make it unknown whether the key ran.
     pub fn order(
         &mut self,
         key: &RequestKey,
@@ -106,7 +107,8 @@
         self.home.claim(key, executor, revision, now)
     }
 
-    /// Handles a bar of `key` by an entry that has the list of `revision`.
+    /// Handles an entry's request to bar `key`, that is, to refuse orders for it at ballots below
+    /// `ballot`. `revision` is that of the endpoint list that the entry uses.
     pub fn bar(
         &mut self,
         key: &RequestKey,
--- a/crates/bulrushusher_once/src/settlement.rs
+++ b/crates/bulrushusher_once/src/settlement.rs
@@ -1,6 +1,6 @@
-//! How an entry obtains the right to run a key: a claim at the key's home, and bar rounds if the
-//! home is unreachable or its records may be incomplete. Does no I/O: the entry carries out each
-//! [`SettleAction`] and reports the replies.
+//! How an entry obtains the right to run a key: a claim at the key's home, and bar rounds
+//! ([`BarRound`]) if the home is unreachable or its records may be incomplete. Does no I/O: the
+//! entry carries out each [`SettleAction`] and reports the replies.
 
 use bulrushusher_time::Millis;
 use bulrushusher_world::{EndpointName, RequestKey};
@@ -17,7 +17,7 @@
 pub struct ListView {
     /// The revision.
     pub revision: u64,
-    /// Endpoints that may run keys of the service.
+    /// Endpoints that may run requests of the service.
     pub executors: Vec<EndpointName>,
     /// Endpoints that were removed from the list within the retry horizon.
     pub departed: Vec<EndpointName>,
@@ -61,7 +61,8 @@
         /// The revision of the list that both are from.
         revision: u64,
     },
-    /// Bar the key at these agents, and pass each reply to [`Settlement::record_bar_reply`].
+    /// Bar the key at these agents, that is, request that they refuse it at ballots below `ballot`,
+    /// and pass each reply to [`Settlement::record_bar_reply`].
     Bar {
         /// The agents.
         agents: Vec<EndpointName>,
@@ -202,8 +203,8 @@
         self.state = State::Done(settled);
     }
 
-    /// Records an agent's reply to the bar at `ballot`; `None` if it did not reply. Replies for
-    /// other ballots are ignored.
+    /// Records an agent's reply to the request to bar the key at `ballot`; `None` if it did not
+    /// reply. Replies for other ballots are ignored.
     pub fn record_bar_reply(
         &mut self,
         agent: &EndpointName,
--- a/crates/bulrushusher_routing/src/load.rs
+++ b/crates/bulrushusher_routing/src/load.rs
@@ -5,13 +5,13 @@
 /// A runner's last load report, and this entry's own requests there.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadHint {
-    /// Places in use by all entries, at the time of the report.
+    /// Concurrency slots of the runner that requests of all entries use, at the time of the report.
     pub used: u32,
-    /// Total places; 0 before the first report.
+    /// Total slots; 0 before the first report.
     pub places: u32,
-    /// Requests waiting for a place, at the time of the report.
+    /// Requests waiting for a slot, at the time of the report.
     pub waiting: u32,
-    /// Expected wait for a place, at the time of the report.
+    /// Expected wait for a slot, at the time of the report.
     pub expected_wait: Millis,
     /// Running and waiting requests by the engine's own metrics, which lag behind.
     pub engine_load: u32,
@@ -43,7 +43,7 @@
         (reported + f64::from(self.own_since_report)).max(f64::from(self.own_in_flight))
     }
 
-    /// [`LoadHint::estimate`] per place; above 1, requests are waiting.
+    /// [`LoadHint::estimate`] per slot; above 1, requests are waiting.
     pub fn utilization(&self, now: Millis, half_life: Millis) -> f64 {
         self.estimate(now, half_life) / f64::from(self.places.max(1))
     }
--- a/crates/bulrushusher_routing/src/pairing.rs
+++ b/crates/bulrushusher_routing/src/pairing.rs
@@ -20,7 +20,7 @@
     /// Half-life of a load report, by which its weight decays with age.
     pub hint_half_life: Millis,
     /// A runner with the prefix cached is preferred while its load exceeds that of the least loaded
-    /// candidate by at most this much, in requests per place.
+    /// candidate by at most this much, in requests per concurrency slot.
     pub affinity_slack: f64,
     /// Minimum number of cached blocks for which a runner is preferred.
     pub affinity_min_blocks: usize,
@@ -44,7 +44,7 @@
     }
 }
 
-/// A prompt to place.
+/// A prompt that needs a prefill and a decode runner.
 #[derive(Clone, Debug)]
 pub struct PromptRequest<'a> {
     /// The service, that is, the pool of the model.
@@ -55,7 +55,7 @@
     pub excluded: &'a [EndpointName],
 }
 
-/// A plain service call to place.
+/// A plain service call that needs a runner.
 #[derive(Clone, Debug)]
 pub struct ServiceRequest<'a> {
     /// The service.
--- a/crates/bulrushusher_wire/src/control.rs
+++ b/crates/bulrushusher_wire/src/control.rs
@@ -33,15 +33,15 @@
     pub late_within: Millis,
     /// How long the entry waits for a slot.
     pub wait: Millis,
-    /// The key to be executed there at the ballot of its home; `None` for a prefill, and for a key
-    /// that was barred.
+    /// The key to be executed there at [`Ballot::Home`]; `None` for a prefill, and for a key that
+    /// was barred, whose order carries a higher ballot.
     pub key: Option<RequestKey>,
 }
 
 /// A reserved slot.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Reservation {
-    /// The reservation id to give in the order.
+    /// The reservation id to give in the order ([`crate::PrefillRun`] or [`crate::RunOrder`]).
     pub id: ReservationId,
     /// Incarnation of the agent that granted it; changes with every restart.
     pub incarnation: u64,
@@ -69,7 +69,7 @@
     pub revision: u64,
 }
 
-/// Request to an agent to reject lower ballots for a key.
+/// Request to an agent to bar a key: to reject orders for it at lower ballots.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct BarRequest {
     /// The key.
@@ -105,7 +105,7 @@
 pub struct EndpointListUpdate {
     /// The service.
     pub service: ServiceName,
-    /// The list revision, with the endpoints that may execute keys.
+    /// The revision of the list, with the endpoints that may execute requests of the service.
     pub list: ServiceList,
     /// The service's endpoints, of all roles.
     pub endpoints: Vec<Endpoint>,
@@ -163,7 +163,8 @@
     #[method(name = "claim")]
     async fn claim(&self, ask: ClaimRequest) -> RpcResult<ClaimReply>;
 
-    /// Makes the agent reject lower ballots for the given keys; one response per request, in order.
+    /// Makes the agent reject orders at lower ballots for the given keys; one response per request,
+    /// in the same sequence.
     #[method(name = "bar")]
     async fn bar(&self, asks: Vec<BarRequest>) -> RpcResult<Vec<BarResponse>>;
 
--- a/crates/bulrushusher_wire/src/frame.rs
+++ b/crates/bulrushusher_wire/src/frame.rs
@@ -1,4 +1,6 @@
-//! Orders that open a stream from an agent to an entry, and the frames of the stream.
+//! Orders of an entry to an agent, and the frames of the streams that they open. An order makes the
+//! agent prefill a prompt, execute the request of a key, or send the response of a key; the agent
+//! replies with a stream of frames.
 
 use std::net::SocketAddr;
 
@@ -97,7 +99,7 @@
     pub revoke: Option<ReservationId>,
 }
 
-/// Why an order opened no stream.
+/// Why an agent did not carry out an order of an entry.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "not_taken", rename_all = "snake_case")]
 pub enum OrderRejection {
@@ -126,7 +128,8 @@
     /// The key is older than the retry horizon; this order was not executed.
     #[display("order not executed: the key is older than the retry horizon")]
     TooOld,
-    /// This incarnation of the agent did not begin to execute the key within the wait.
+    /// This incarnation of the agent had not begun to execute the key by the end of the wait that
+    /// the [`AttachOrder`] allows.
     #[display("execution of the key has not begun here")]
     NotHere {
         /// Incarnation of the agent that replies.
--- a/crates/bulrushusher_world/src/endpoint.rs
+++ b/crates/bulrushusher_world/src/endpoint.rs
@@ -8,7 +8,7 @@
 
 use crate::{DataCentreName, EndpointName, ServiceName, ValidationError};
 
-/// The kind of work an endpoint does.
+/// The kind of work that an endpoint does for its service.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
