--- a/crates/bulrushusher_accounts/src/access.rs
+++ b/crates/bulrushusher_accounts/src/access.rs
@@ -85,7 +85,7 @@
     let denial = match credentials {
         Credentials::None => Denial::NoKey,
         Credentials::Malformed => Denial::Malformed,
-        Credentials::Key(key) => match (table.find(key), freshness) {
+        Credentials::Key(key) => match (table.find_by_key(key), freshness) {
             (Some(account), Freshness::Fresh | Freshness::Leased) => {
                 return Ok(Access::Account(account.clone()));
             }
--- a/crates/bulrushusher_accounts/src/limiter.rs
+++ b/crates/bulrushusher_accounts/src/limiter.rs
@@ -175,7 +175,7 @@
     ///
     /// A full report covers all accounts with usage; otherwise only those whose unreported usage is
     /// significant. Above the size limit, accounts without recent activity are left out.
-    pub fn take_report(&mut self, is_full: bool, now: Millis) -> UsageReport {
+    pub fn next_report(&mut self, is_full: bool, now: Millis) -> UsageReport {
         self.refresh(now);
         let mut report = UsageReport { synced: self.is_synced, accounts: Vec::new() };
         if !self.cfg.uses_reports() {
--- a/crates/bulrushusher_accounts/src/table.rs
+++ b/crates/bulrushusher_accounts/src/table.rs
@@ -34,8 +34,8 @@
 /// let keys = ["old-key".to_owned(), "new-key".to_owned()];
 /// let raw = RawAccount { name: "studio-7", keys: &keys, ..RawAccount::default() };
 /// let table = AccountTable::new(vec![Account::try_from(raw).unwrap()]).unwrap();
-/// assert_eq!(table.find(KeyDigest::of("new-key")).unwrap().name.as_str(), "studio-7");
-/// assert!(table.find(KeyDigest::of("no-key")).is_none());
+/// assert_eq!(table.find_by_key(KeyDigest::of("new-key")).unwrap().name.as_str(), "studio-7");
+/// assert!(table.find_by_key(KeyDigest::of("no-key")).is_none());
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct AccountTable {
@@ -63,7 +63,7 @@
 
     fn insert(&mut self, account: Arc<Account>) -> Result<(), TableError> {
         for key in &account.keys {
-            if let Some(owner) = self.find(*key) {
+            if let Some(owner) = self.find_by_key(*key) {
                 if owner.name == account.name {
                     continue;
                 }
@@ -77,7 +77,7 @@
     }
 
     /// The account that an API key belongs to.
-    pub fn find(&self, key: KeyDigest) -> Option<&Arc<Account>> {
+    pub fn find_by_key(&self, key: KeyDigest) -> Option<&Arc<Account>> {
         let candidates = self.by_prefix.get(&key.prefix())?;
         candidates.iter().find(|(digest, _)| *digest == key).map(|(_, account)| account)
     }
--- a/crates/bulrushusher_accounts/tests/accounts.rs
+++ b/crates/bulrushusher_accounts/tests/accounts.rs
@@ -86,7 +86,7 @@
         assert_eq!(check(credentials, Freshness::Leased), Err(Denial::StaleConfiguration));
         assert_eq!(check(credentials, Freshness::Lapsed), Err(Denial::StaleConfiguration));
     }
-    let account = table.find(known).unwrap().clone();
+    let account = table.find_by_key(known).unwrap().clone();
     for freshness in [Freshness::Fresh, Freshness::Leased] {
         let access = check(Credentials::Key(known), freshness);
         assert_eq!(access, Ok(Access::Account(account.clone())));
@@ -114,7 +114,7 @@
     let table = AccountTable::new(all.collect()).unwrap();
     assert_eq!(table.len(), 10_000);
     for n in [0, 1, 4_999, 9_999] {
-        let found = table.find(KeyDigest::of(&format!("key-{n}"))).unwrap();
+        let found = table.find_by_key(KeyDigest::of(&format!("key-{n}"))).unwrap();
         assert_eq!(found.name.as_str(), format!("studio-{n}"));
     }
 }
--- a/crates/bulrushusher_forward/src/back_pressure.rs
+++ b/crates/bulrushusher_forward/src/back_pressure.rs
@@ -313,7 +313,7 @@
 
     /// Charges requests that are sent regardless of back-pressure to this gateway's share of the
     /// runner's rate limit.
-    pub fn charge(&mut self, runner: &Runner, requests: u32, now: Millis) {
+    pub fn charge_rate_limit(&mut self, runner: &Runner, requests: u32, now: Millis) {
         if let Some(limit) = self.entry_mut(runner).and_then(|entry| entry.limit.as_mut()) {
             limit.charge(f64::from(requests), now);
         }
--- a/crates/bulrushusher_gateway/src/access/caller.rs
+++ b/crates/bulrushusher_gateway/src/access/caller.rs
@@ -110,7 +110,7 @@
     /// True while the key may be acted on.
     fn is_good(&self) -> bool {
         let Some(routing) = self.knowledge.routing() else { return false };
-        let holder = routing.accounts().and_then(|accounts| accounts.find(self.key));
+        let holder = routing.accounts().and_then(|accounts| accounts.find_by_key(self.key));
         let is_held = holder.is_some_and(|holder| holder.name == self.account.name);
         is_held && self.knowledge.freshness() != Freshness::Lapsed
     }
--- a/crates/bulrushusher_gateway/src/knowledge/accounts.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/accounts.rs
@@ -76,7 +76,7 @@
 
     /// What peers are told of the use of quotas.
     pub(crate) fn spends(&self, whole: bool) -> UsageReport {
-        self.quotas.lock().take_report(whole, self.now())
+        self.quotas.lock().next_report(whole, self.now())
     }
 
     /// All that this gateway has to tell, for one peer.
--- a/crates/bulrushusher_gateway/src/knowledge/pressure.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/pressure.rs
@@ -124,7 +124,7 @@
     /// Counts a request that is sent whatever its runner asked for.
     pub(crate) fn owe_permit(&self, runner: &Runner) {
         let now = self.now();
-        self.pressure.lock().charge(runner, 1, now);
+        self.pressure.lock().charge_rate_limit(runner, 1, now);
     }
 
     /// Requests that were counted are not sent after all.
--- a/crates/bulrushusher_model/src/limits.rs
+++ b/crates/bulrushusher_model/src/limits.rs
@@ -337,7 +337,7 @@
         (gateway.spoke_at, gateway.is_due) = (now, false);
         let word = match &mut gateway.keeper {
             Keeper::Few(pressure) => Word::Limits(Rc::new(pressure.reports(Millis(now)))),
-            Keeper::Bucket(book) => Word::Spends(Rc::new(book.take_report(true, Millis(now)))),
+            Keeper::Bucket(book) => Word::Spends(Rc::new(book.next_report(true, Millis(now)))),
         };
         let life = gateway.life;
         for to in 0..self.gateways.len() {
--- a/crates/bulrushusher_model/src/quotas.rs
+++ b/crates/bulrushusher_model/src/quotas.rs
@@ -287,7 +287,7 @@
             return;
         }
         let whole = now - gateway.whole_at.min(now) >= WHOLE_EVERY;
-        let spends = Rc::new(gateway.book.take_report(whole, Millis(now)));
+        let spends = Rc::new(gateway.book.next_report(whole, Millis(now)));
         (gateway.spoke_at, gateway.is_due) = (now.max(gateway.back_at + 1), false);
         if whole {
             gateway.whole_at = now;
