--- a/crates/bulrushusher_gateway/src/runs/call.rs
+++ b/crates/bulrushusher_gateway/src/runs/call.rs
@@ -1,4 +1,4 @@
-//! Plain calls: one runner after another until one answers, within what may be repeated.
+//! Plain calls: tries runners one after another until one responds, within the retry limits.
 
 use std::pin::pin;
 
@@ -9,139 +9,140 @@
 use hyper::Response;
 use hyper::http::response;
 
-use crate::answers::answer::{PRESSED, Refusal, pass_on};
+use crate::answers::answer::{BACK_PRESSURE, Refusal, forward_response};
 use crate::answers::body::ReplyBody;
 use crate::dialect::{Dialect, Step};
 use crate::runners::crashes::CrashWatch;
 use crate::runners::exchange::{ExchangeError, Reply};
 use crate::runners::permit::Permit;
-use crate::runners::router::{AttemptNote, Forwarded, LoadTicket, Router, Sending};
+use crate::runners::router::{AttemptRecord, AttemptSpec, ForwardedRequest, LoadGuard, Router};
 
-/// Share of its target after which a call that may be repeated is late at its first runner: longer than
-/// nearly all answers take, and short enough for a second one to be on time.
-const FIRST_WAIT_SHARE: f64 = 0.7;
+/// Share of its target after which a repeatable call is late at its first runner: longer than
+/// nearly all responses take, and short enough for a second runner to respond on time.
+const FIRST_ATTEMPT_SHARE: f64 = 0.7;
 
-/// Failures that a plain call may come back from soon: its pool has no long queue.
-const COME_BACK_SOON: Millis = Millis(300);
+/// Retry-After of a failed plain call; short, as the pools of plain calls have no long queues.
+const CALL_RETRY_AFTER: Millis = Millis(300);
 
-/// How one attempt ended.
-enum Ended {
-    /// A success, or a failure of the run that nothing may follow.
+/// Result of one attempt.
+enum AttemptResult {
+    /// A success, or a failure of the run that must not be retried.
     Answer(response::Parts, Bytes),
-    /// A failure of the run; another attempt may do better.
+    /// A failure of the run; another attempt may succeed.
     RunFailed(response::Parts, Bytes),
-    /// No answer to pass on.
-    Without(AttemptEnd, String),
-    /// It was not sent, as the runner signalled back-pressure.
+    /// No response to forward.
+    NoAnswer(AttemptEnd, String),
+    /// Not sent, because the runner signalled back-pressure.
     Withheld(String),
 }
 
 /// Serves a plain call.
 ///
 /// # Errors
-/// The refusal to send when no runner's answer can be passed on.
+/// The refusal to send when no runner's response can be forwarded.
 pub(crate) async fn call<D: Dialect>(
     cx: &Router<D>,
-    fwd: &Forwarded,
+    fwd: &ForwardedRequest,
 ) -> Result<Response<ReplyBody>, Refusal> {
     let mut plan = AttemptPlan::new(fwd.route.kind, fwd.route.max_runners);
     let mut tried: Vec<RunnerId> = Vec::new();
     let near = cx.knowledge.cfg().data_centre.clone();
-    let come_back = Millis(COME_BACK_SOON.0.min(fwd.left(cx.now()).0 / 4));
+    let retry_after = Millis(CALL_RETRY_AFTER.0.min(fwd.remaining(cx.now()).0 / 4));
     loop {
-        let left = fwd.left(cx.now());
-        if left == Millis(0) {
-            return Err(timed_out(&plan, come_back));
+        let remaining = fwd.remaining(cx.now());
+        if remaining == Millis(0) {
+            return Err(timed_out(&plan, retry_after));
         }
-        if let Err(held) = cx.may_run(fwd) {
-            return Err(Refusal::of(plan.final_answer(), held.reason, held.come_back));
+        if let Err(withheld) = cx.may_run(fwd) {
+            return Err(Refusal::after_attempts(
+                plan.final_answer(),
+                withheld.reason,
+                withheld.retry_after,
+            ));
         }
         let Some(runner) = cx.knowledge.pick_for_call(&fwd.service, &tried, &near) else {
-            let (reason, come_back) = no_runner(cx, fwd, come_back);
-            return Err(Refusal::of(plan.final_answer(), reason, come_back));
+            let (reason, retry_after) = no_runner(cx, fwd, retry_after);
+            return Err(Refusal::after_attempts(plan.final_answer(), reason, retry_after));
         };
-        let may_follow = plan.may_run_again() && tried.is_empty();
+        let may_be_abandoned = plan.may_run_again() && tried.is_empty();
         tried.push(runner.id.clone());
-        let ended = match may_follow {
-            true => first_attempt(cx, fwd, &runner, left, &mut plan).await,
-            false => Some(attempt(cx, fwd, &runner, left).await),
+        let ended = match may_be_abandoned {
+            true => first_attempt(cx, fwd, &runner, remaining, &mut plan).await,
+            false => Some(attempt(cx, fwd, &runner, remaining).await),
         };
         let Some(ended) = ended else { continue };
         let (end, failed, cause) = match ended {
-            Ended::Answer(head, body) => return Ok(pass_on(head, body)),
-            Ended::RunFailed(head, body) => {
+            AttemptResult::Answer(head, body) => return Ok(forward_response(head, body)),
+            AttemptResult::RunFailed(head, body) => {
                 (AttemptEnd::RunFailed, Some((head, body)), String::new())
             }
-            Ended::Without(end, cause) => (end, None, cause),
-            Ended::Withheld(cause) => (AttemptEnd::Unsent, None, cause),
+            AttemptResult::NoAnswer(end, cause) => (end, None, cause),
+            AttemptResult::Withheld(cause) => (AttemptEnd::Unsent, None, cause),
         };
         match cx.knowledge.next_step(&fwd.service, &mut plan, end) {
             NextStep::Retry => {}
             NextStep::ForwardError => {
                 if let Some((head, body)) = failed {
-                    return Ok(pass_on(head, body));
+                    return Ok(forward_response(head, body));
                 }
                 return Err(Refusal::OutcomeUnknown("the runner failed"));
             }
             NextStep::Finish(end) => {
-                log::info!("route: given up id={} cause=\"{cause}\"", fwd.arrival.id);
-                if fwd.left(cx.now()) == Millis(0) {
-                    return Err(timed_out(&plan, come_back));
+                log::info!("route: given up id={} cause=\"{cause}\"", fwd.request.id);
+                if fwd.remaining(cx.now()) == Millis(0) {
+                    return Err(timed_out(&plan, retry_after));
                 }
-                return Err(Refusal::of(end, "no runner answered", come_back));
+                return Err(Refusal::after_attempts(end, "no runner answered", retry_after));
             }
         }
     }
 }
 
-/// Why no runner may be called, and when to come back: where all that are left asked for it, when the first
-/// of them may be called again.
+/// Why no runner may be called, and when to retry. Under back-pressure at all remaining runners,
+/// that is when the first of them may be called again.
 fn no_runner<D: Dialect>(
     cx: &Router<D>,
-    fwd: &Forwarded,
-    come_back: Millis,
+    fwd: &ForwardedRequest,
+    retry_after: Millis,
 ) -> (&'static str, Millis) {
-    match cx.pressed_for(fwd, None) {
-        Some(opens_in) => (PRESSED, opens_in),
-        None => ("no runner is left", come_back),
+    match cx.back_pressure_delay(fwd, None) {
+        Some(delay) => (BACK_PRESSURE, delay),
+        None => ("no runner is left", retry_after),
     }
 }
 
-/// Sends the call to its first runner. When the answer is late and another runner may do better, this one is
-/// given up: `None`. Without another runner, or a repeat in the budget, its answer is the only one to be had.
+/// Sends the call to its first runner. When the response is late, the attempt is abandoned for
+/// another runner (`None`), unless there is no other runner or the retry budget is used up.
 async fn first_attempt<D: Dialect>(
     cx: &Router<D>,
-    fwd: &Forwarded,
+    fwd: &ForwardedRequest,
     runner: &Runner,
-    left: Millis,
+    remaining: Millis,
     plan: &mut AttemptPlan,
-) -> Option<Ended> {
-    let began = cx.now();
-    let mut ended = pin!(attempt(cx, fwd, runner, left));
-    let in_time = tokio::time::timeout(first_wait(fwd).min(left).duration(), &mut ended);
+) -> Option<AttemptResult> {
+    let started = cx.now();
+    let mut ended = pin!(attempt(cx, fwd, runner, remaining));
+    let in_time =
+        tokio::time::timeout(first_attempt_timeout(fwd).min(remaining).duration(), &mut ended);
     if let Ok(ended) = in_time.await {
         return Some(ended);
     }
     if cx.knowledge.abandon_late(&fwd.service, plan, std::slice::from_ref(&runner.id)) {
         let (result, detail) = (CallResult::Unreachable, "late, another runner is tried");
-        cx.note_attempt(fwd, AttemptNote { runner, step: "whole", began, result, detail });
+        cx.record_attempt(fwd, AttemptRecord { runner, step: "whole", started, result, detail });
         return None;
     }
-    log::info!(
-        "route: late id={} runner={} outcome=\"it is waited for\"",
-        fwd.arrival.id,
-        runner.id
-    );
+    log::info!("route: late id={} runner={} outcome=\"still waiting\"", fwd.request.id, runner.id);
     Some(ended.await)
 }
 
-/// Time after which the first answer is late.
-fn first_wait(fwd: &Forwarded) -> Millis {
-    fwd.route.target.share(FIRST_WAIT_SHARE).max(Millis(1))
+/// Time after which the response of the first runner is late.
+fn first_attempt_timeout(fwd: &ForwardedRequest) -> Millis {
+    fwd.route.target.share(FIRST_ATTEMPT_SHARE).max(Millis(1))
 }
 
-fn timed_out(plan: &AttemptPlan, come_back: Millis) -> Refusal {
-    match Refusal::of(plan.final_answer(), "its time is over", come_back) {
+fn timed_out(plan: &AttemptPlan, retry_after: Millis) -> Refusal {
+    match Refusal::after_attempts(plan.final_answer(), "its deadline has passed", retry_after) {
         Refusal::OutcomeUnknown(_) => Refusal::TimedOut,
         refusal => refusal,
     }
@@ -149,77 +150,77 @@
 
 async fn attempt<D: Dialect>(
     cx: &Router<D>,
-    fwd: &Forwarded,
+    fwd: &ForwardedRequest,
     runner: &Runner,
-    within: Millis,
-) -> Ended {
-    let began = cx.now();
-    let _ticket = LoadTicket::begin(&cx.knowledge, &runner.id, 0);
+    timeout: Millis,
+) -> AttemptResult {
+    let started = cx.now();
+    let _load = LoadGuard::begin(&cx.knowledge, &runner.id, 0);
     let watch = CrashWatch::begin(cx, fwd);
-    let resume_after = fwd.arrival.resume_after;
-    let sending = Sending { resume_after, step: Step::Whole, permit: Permit::Needed };
-    let reply = cx.attempt(fwd, runner, sending, within).await;
+    let resume_after = fwd.request.resume_after;
+    let spec = AttemptSpec { resume_after, step: Step::Whole, permit: Permit::Acquire };
+    let reply = cx.attempt(fwd, runner, spec, timeout).await;
     let read = match reply {
         Ok(reply) => {
-            let left = within.since(cx.now().since(began)).plus(Millis(1));
-            read(cx, runner, reply, left).await
+            let remaining = timeout.since(cx.now().since(started)).plus(Millis(1));
+            read_response(cx, runner, reply, remaining).await
         }
         Err(e) => Err(e),
     };
-    if read.as_ref().is_err_and(ExchangeError::broke_off) {
-        watch.broke_off(cx, runner).await;
+    if read.as_ref().is_err_and(ExchangeError::is_connection_lost) {
+        watch.connection_lost(cx, runner).await;
     }
-    let ended = read.unwrap_or_else(without);
-    if matches!(ended, Ended::Answer(..)) {
+    let ended = read.unwrap_or_else(failed_exchange);
+    if matches!(ended, AttemptResult::Answer(..)) {
         cx.knowledge.note_answer(fwd.digest);
     }
     let (result, detail) = match &ended {
-        Ended::Answer(..) => (CallResult::Answered(Millis(0)), ""),
-        Ended::RunFailed(..) => (CallResult::Failed, "failed"),
-        Ended::Without(AttemptEnd::NotRun, cause) => (CallResult::NotRun, cause.as_str()),
-        Ended::Without(_, cause) => (CallResult::Unreachable, cause.as_str()),
-        Ended::Withheld(cause) => (CallResult::Withheld, cause.as_str()),
+        AttemptResult::Answer(..) => (CallResult::Answered(Millis(0)), ""),
+        AttemptResult::RunFailed(..) => (CallResult::Failed, "failed"),
+        AttemptResult::NoAnswer(AttemptEnd::NotRun, cause) => (CallResult::NotRun, cause.as_str()),
+        AttemptResult::NoAnswer(_, cause) => (CallResult::Unreachable, cause.as_str()),
+        AttemptResult::Withheld(cause) => (CallResult::Withheld, cause.as_str()),
     };
-    cx.note_attempt(fwd, AttemptNote { runner, step: "whole", began, result, detail });
+    cx.record_attempt(fwd, AttemptRecord { runner, step: "whole", started, result, detail });
     ended
 }
 
-async fn read<D: Dialect>(
+async fn read_response<D: Dialect>(
     cx: &Router<D>,
     runner: &Runner,
     reply: Reply,
-    within: Millis,
-) -> Result<Ended, ExchangeError> {
-    let marks = reply.marks.clone();
-    let (head, body) = match cx.exchanger.read_whole(runner, reply, within).await {
+    timeout: Millis,
+) -> Result<AttemptResult, ExchangeError> {
+    let info = reply.info.clone();
+    let (head, body) = match cx.exchanger.read_whole(runner, reply, timeout).await {
         Ok(whole) => whole,
-        // Its own word came with the head, so that the rest of the answer is not needed.
-        Err(_) if marks.not_run => return Ok(not_run()),
+        // The head already states that the request was not run, so the body is not needed.
+        Err(_) if info.not_run => return Ok(not_run()),
         Err(e) => return Err(e),
     };
-    if marks.wrong_runner {
-        cx.forget_runner(&runner.id, "another runner has its address");
+    if info.wrong_runner {
+        cx.remove_runner(&runner.id, "another runner has its address");
     }
-    if marks.not_run || marks.wrong_runner {
+    if info.not_run || info.wrong_runner {
         return Ok(not_run());
     }
-    if head.status.is_success() && !marks.sealed {
-        let cause = "the answer is not signed by its runner".to_owned();
-        return Ok(Ended::Without(AttemptEnd::Unknown, cause));
+    if head.status.is_success() && !info.sealed {
+        let cause = "the response has no seal of its runner".to_owned();
+        return Ok(AttemptResult::NoAnswer(AttemptEnd::Unknown, cause));
     }
     Ok(match head.status.is_server_error() {
-        true => Ended::RunFailed(head, body),
-        false => Ended::Answer(head, body),
+        true => AttemptResult::RunFailed(head, body),
+        false => AttemptResult::Answer(head, body),
     })
 }
 
-fn not_run() -> Ended {
-    Ended::Without(AttemptEnd::NotRun, "the runner did not run it".to_owned())
+fn not_run() -> AttemptResult {
+    AttemptResult::NoAnswer(AttemptEnd::NotRun, "the runner did not run the request".to_owned())
 }
 
-fn without(e: ExchangeError) -> Ended {
+fn failed_exchange(e: ExchangeError) -> AttemptResult {
     match e.is_withheld() {
-        true => Ended::Withheld(e.to_string()),
-        false => Ended::Without(e.attempt_end(), e.to_string()),
+        true => AttemptResult::Withheld(e.to_string()),
+        false => AttemptResult::NoAnswer(e.attempt_end(), e.to_string()),
     }
 }
--- /dev/null
+++ b/crates/bulrushusher_gateway/src/runs/forward.rs
@@ -0,0 +1,273 @@
+//! Forwards the stream of one run to its caller until the run ends.
+
+use std::sync::Arc;
+
+use bulrushusher_forward::{AttemptPlan, EventSplitter, Runner};
+use bulrushusher_time::Millis;
+use bytes::Bytes;
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use hyper::header::{CONTENT_TYPE, HeaderMap};
+use tokio::sync::mpsc::Sender;
+
+use crate::answers::body::StreamPart;
+use crate::dialect::Dialect;
+use crate::placement::holds::MemoryHold;
+use crate::runners::exchange::Reply;
+use crate::runners::router::{ForwardedRequest, Router};
+use crate::runs::migration::{MigratedRun, Migration};
+use crate::runs::run::{Run, silence_timeout};
+
+/// Time within which the stream of a stopped run ends; its last events are still in flight.
+const STOPPED_DRAIN_TIMEOUT: Millis = Millis(100);
+
+/// How a run ended.
+pub(crate) enum RunEnd<D: Dialect> {
+    /// The stream ended after a complete event.
+    Complete,
+    /// The run was stopped to be resumed at another runner.
+    Migrated(Box<MigratedRun<D>>),
+    /// The caller disconnected.
+    CallerGone,
+    /// The request's deadline passed.
+    DeadlinePassed,
+    /// The stream broke off, for the given reason.
+    Broken(String),
+}
+
+/// How much of the stream the caller has received.
+pub(crate) struct StreamProgress {
+    /// Id of the last event that was forwarded.
+    pub last_event: Option<u64>,
+    /// When the last bytes arrived.
+    last_bytes: Option<Millis>,
+    /// The longest gap since the first bytes.
+    pub longest_gap: Millis,
+    /// Consecutive long gaps; counted only for routes with a gap target.
+    consecutive_long_gaps: u32,
+    pub splitter: EventSplitter,
+}
+
+/// A gap beyond this share of the route's gap target is long: about three times the usual gap, and
+/// close to being late.
+const LONG_GAP_SHARE: f64 = 0.5;
+
+/// Lower bound of the stall timeout, for routes that have no gap target or a very short one; about
+/// the time of some events.
+const MIN_STALL_TIMEOUT: Millis = Millis(150);
+
+/// Consecutive long gaps after which a runner counts as slow. A prefill or a preemption causes one
+/// long gap, and rarely two.
+const SLOW_RUNNER_GAPS: u32 = 4;
+
+impl StreamProgress {
+    pub(crate) fn new(last_event: Option<u64>) -> StreamProgress {
+        StreamProgress {
+            last_event,
+            last_bytes: None,
+            longest_gap: Millis(0),
+            consecutive_long_gaps: 0,
+            splitter: EventSplitter::default(),
+        }
+    }
+
+    /// Records that bytes arrived; returns the gap before them, and whether the runner now counts
+    /// as slow.
+    fn record_bytes(&mut self, gap_target: Millis, now: Millis) -> (Millis, bool) {
+        let Some(last) = self.last_bytes.replace(now) else { return (Millis(0), false) };
+        let gap = now.since(last);
+        self.longest_gap = self.longest_gap.max(gap);
+        let is_long = gap.0 as f64 > gap_target.0 as f64 * LONG_GAP_SHARE;
+        self.consecutive_long_gaps =
+            if is_long && gap_target > Millis(0) { self.consecutive_long_gaps + 1 } else { 0 };
+        (gap, self.consecutive_long_gaps == SLOW_RUNNER_GAPS)
+    }
+}
+
+/// Result of waiting for the next part of a stream.
+enum StreamEvent {
+    Bytes(Bytes),
+    /// A frame without data, or progress of a migration.
+    Nothing,
+    /// The end of the body.
+    End,
+    /// The connection broke.
+    Broken(String),
+    /// The silence timeout passed; with `at_deadline`, the request's deadline.
+    Silence {
+        at_deadline: bool,
+    },
+    CallerGone,
+}
+
+/// The stream of one run to its caller.
+struct RunStream<'a, D: Dialect> {
+    cx: &'a Arc<Router<D>>,
+    fwd: &'a ForwardedRequest,
+    tx: &'a Sender<StreamPart>,
+    runner: Runner,
+    held: Option<MemoryHold<D>>,
+    migration: Migration<D>,
+    tokens_per_event: u64,
+    /// True once the run was silent for longer than its silence timeout.
+    was_silent: bool,
+    /// True while the run generates nothing.
+    is_stalled: bool,
+    silent_since: Millis,
+}
+
+/// Forwards the stream of `run` until the run ends or is migrated.
+pub(crate) async fn forward_run<D: Dialect>(
+    cx: &Arc<Router<D>>,
+    fwd: &ForwardedRequest,
+    plan: &AttemptPlan,
+    run: Run<D>,
+    progress: &mut StreamProgress,
+    tx: &Sender<StreamPart>,
+) -> RunEnd<D> {
+    let Run { runner, reply, held, migrate_after, _load, .. } = run;
+    let Reply { head, mut body, connection, .. } = reply;
+    let has_events = is_event_stream(&head.headers);
+    let migration = Migration::not_before(migrate_after);
+    let mut stream = RunStream {
+        cx,
+        fwd,
+        tx,
+        runner,
+        held,
+        migration,
+        tokens_per_event: cx.knowledge.tokens_per_event(&fwd.service),
+        was_silent: false,
+        is_stalled: false,
+        silent_since: cx.now(),
+    };
+    loop {
+        match stream.next_event(&mut body).await {
+            StreamEvent::Nothing => {}
+            StreamEvent::CallerGone => return RunEnd::CallerGone,
+            StreamEvent::Broken(cause) => return stream.finish_interrupted(cause).await,
+            StreamEvent::Silence { .. } if stream.migration.is_stopped() => {
+                return stream.finish_interrupted("silent after its stop".to_owned()).await;
+            }
+            StreamEvent::Silence { at_deadline: true } => return RunEnd::DeadlinePassed,
+            StreamEvent::Silence { .. } if plan.may_run_again() => {
+                return RunEnd::Broken(format!("silent for {}", silence_timeout(fwd)));
+            }
+            StreamEvent::Silence { .. } => stream.record_silence(),
+            StreamEvent::Bytes(bytes) => {
+                if !stream.forward(bytes, has_events, progress).await {
+                    return RunEnd::CallerGone;
+                }
+            }
+            StreamEvent::End => {
+                let is_complete = progress.splitter.rest().is_empty();
+                let runner = stream.runner.id.clone();
+                let end = stream.finish_interrupted("it ended inside an event".to_owned()).await;
+                if !(is_complete && matches!(end, RunEnd::Broken(_))) {
+                    return end;
+                }
+                cx.exchanger.pool().keep(&runner, connection, &head.headers);
+                return RunEnd::Complete;
+            }
+        }
+    }
+}
+
+impl<D: Dialect> RunStream<'_, D> {
+    /// Waits for the next part of the stream.
+    async fn next_event(&mut self, body: &mut Incoming) -> StreamEvent {
+        let now = self.cx.now();
+        let remaining = self.fwd.remaining(now);
+        let silence = now.since(self.silent_since);
+        let timeout = match (self.migration.is_stopped(), self.was_silent) {
+            (true, _) => STOPPED_DRAIN_TIMEOUT,
+            (false, true) => remaining,
+            (false, false) => silence_timeout(self.fwd).since(silence).min(remaining),
+        };
+        let stall_timeout = stall_timeout(self.fwd.route.gap_target).duration();
+        let frame = tokio::select! {
+            frame = tokio::time::timeout(timeout.duration(), body.frame()) => frame,
+            () = self.tx.closed() => return StreamEvent::CallerGone,
+            () = self.migration.progress(|| self.cx.now()) => return StreamEvent::Nothing,
+            () = tokio::time::sleep(stall_timeout), if !self.is_stalled => {
+                self.is_stalled = true;
+                self.held.iter().for_each(MemoryHold::stall);
+                return StreamEvent::Nothing;
+            }
+        };
+        match frame {
+            Err(_) => StreamEvent::Silence { at_deadline: timeout == remaining },
+            Ok(None) => StreamEvent::End,
+            Ok(Some(Err(e))) => StreamEvent::Broken(e.to_string()),
+            Ok(Some(Ok(frame))) => match frame.into_data() {
+                Ok(bytes) => StreamEvent::Bytes(bytes),
+                // Trailers carry nothing that the caller needs.
+                Err(_) => StreamEvent::Nothing,
+            },
+        }
+    }
+
+    /// Records a silent runner as failing, so that other requests avoid it. This run must not be
+    /// resumed elsewhere, so its stream is still waited for.
+    fn record_silence(&mut self) {
+        self.cx.knowledge.note_run_end(&self.runner, false);
+        self.was_silent = true;
+    }
+
+    /// Forwards bytes to the caller; returns false when the caller has disconnected.
+    async fn forward(
+        &mut self,
+        bytes: Bytes,
+        has_events: bool,
+        progress: &mut StreamProgress,
+    ) -> bool {
+        let cx = self.cx;
+        self.is_stalled = false;
+        self.silent_since = cx.now();
+        let (gap, is_slow) = progress.record_bytes(self.fwd.route.gap_target, cx.now());
+        cx.knowledge.note_stream_pause(&self.runner.id, gap);
+        if is_slow {
+            cx.knowledge.note_run_end(&self.runner, false);
+        }
+        let is_sent = match has_events {
+            true => forward_events(progress, &bytes, self.tx).await,
+            false => self.tx.send(Ok(bytes)).await.is_ok(),
+        };
+        if let (true, Some(held), Some(last)) = (is_sent, &self.held, progress.last_event) {
+            held.progress(last * self.tokens_per_event);
+            self.migration.start_if_due(cx, self.fwd, held);
+        }
+        is_sent
+    }
+
+    /// Ends a stream that did not complete: its run was stopped for a migration, or the stream
+    /// broke.
+    async fn finish_interrupted(self, cause: String) -> RunEnd<D> {
+        match self.migration.settle(|| self.cx.now()).await {
+            Some(moved) => RunEnd::Migrated(moved),
+            None => RunEnd::Broken(cause),
+        }
+    }
+}
+
+/// Time without an event after which a run counts as stalled.
+fn stall_timeout(gap_target: Millis) -> Millis {
+    gap_target.share(LONG_GAP_SHARE).max(MIN_STALL_TIMEOUT)
+}
+
+/// Only event streams are split at event boundaries; other bodies are forwarded as they arrive.
+fn is_event_stream(headers: &HeaderMap) -> bool {
+    let kind = headers.get(CONTENT_TYPE).and_then(|kind| kind.to_str().ok());
+    kind.is_some_and(|kind| kind.starts_with("text/event-stream"))
+}
+
+/// Forwards complete events; returns false when the caller has disconnected.
+async fn forward_events(
+    progress: &mut StreamProgress,
+    bytes: &Bytes,
+    tx: &Sender<StreamPart>,
+) -> bool {
+    let events = progress.splitter.push(bytes);
+    progress.last_event = events.last_id.or(progress.last_event);
+    events.bytes.is_empty() || tx.send(Ok(events.bytes)).await.is_ok()
+}
--- a/crates/bulrushusher_gateway/src/runs/generation.rs
+++ b/crates/bulrushusher_gateway/src/runs/generation.rs
@@ -1,45 +1,54 @@
-//! Generations: a run is begun, a task carries its stream, and what may follow a failure is decided.
+//! Generations: starts a run, hands its stream to a task, and decides how to handle failures.
 
 use std::sync::Arc;
 
 use bulrushusher_forward::{AttemptEnd, AttemptPlan, NextStep};
 use hyper::Response;
 
-use crate::answers::answer::{Refusal, pass_on};
+use crate::answers::answer::{Refusal, forward_response};
 use crate::answers::body::ReplyBody;
 use crate::dialect::Dialect;
-use crate::placement::tries::{NoRun, Tries};
-use crate::runners::router::{Forwarded, Router};
-use crate::runs::begin::begin_run;
-use crate::runs::pump;
+use crate::placement::attempts::{AttemptHistory, RunError};
+use crate::runners::router::{ForwardedRequest, Router};
+use crate::runs::begin::start_run;
+use crate::runs::stream;
 
-/// Serves a generation up to the head of its stream; a task of its own carries the rest.
+/// Serves a generation up to the head of its stream; a separate task forwards the rest.
 ///
 /// # Errors
-/// The refusal to send when there is no stream to pass on.
+/// The refusal to send when there is no stream to forward.
 pub(crate) async fn generate<D: Dialect>(
     cx: &Arc<Router<D>>,
-    fwd: &Forwarded,
+    fwd: &ForwardedRequest,
 ) -> Result<Response<ReplyBody>, Refusal> {
     let mut plan = AttemptPlan::new(fwd.route.kind, fwd.route.max_runners);
     let late = fwd.is_late();
     let wait = cx.knowledge.with_line(&fwd.service, |l| l.max_wait(late, fwd.route.target));
-    let until = fwd.received.plus(wait).min(fwd.ends);
-    let mut tries = Tries { resume_after: fwd.arrival.resume_after, ..Tries::default() };
+    let until = fwd.received.plus(wait).min(fwd.deadline);
+    let mut history =
+        AttemptHistory { resume_after: fwd.request.resume_after, ..AttemptHistory::default() };
     loop {
-        let run = begin_run(cx, fwd, &mut tries, until).await;
+        let run = start_run(cx, fwd, &mut history, until).await;
         let (end, reason, failed) = match run {
-            Ok(run) => return Ok(pump::start(cx.clone(), fwd.clone(), plan, run)),
-            Err(NoRun::Withheld(held)) => {
-                return Err(Refusal::of(plan.final_answer(), held.reason, held.come_back));
+            Ok(run) => return Ok(stream::start(cx.clone(), fwd.clone(), plan, run)),
+            Err(RunError::Withheld(withheld)) => {
+                return Err(Refusal::after_attempts(
+                    plan.final_answer(),
+                    withheld.reason,
+                    withheld.retry_after,
+                ));
             }
-            Err(NoRun::Unplaced(reason)) => {
-                return Err(Refusal::of(plan.final_answer(), reason, cx.come_back(fwd)));
+            Err(RunError::Unplaced(reason)) => {
+                return Err(Refusal::after_attempts(
+                    plan.final_answer(),
+                    reason,
+                    cx.retry_after(fwd),
+                ));
             }
-            Err(NoRun::Failed(head, body)) => {
+            Err(RunError::Failed(head, body)) => {
                 (AttemptEnd::RunFailed, "the run failed", Some((head, body)))
             }
-            Err(NoRun::Ended(end, reason)) => (end, reason, None),
+            Err(RunError::Ended(end, reason)) => (end, reason, None),
         };
         match cx.knowledge.next_step(&fwd.service, &mut plan, end) {
             NextStep::Retry => {}
@@ -47,9 +56,11 @@
                 let Some((head, body)) = failed else {
                     return Err(Refusal::OutcomeUnknown(reason));
                 };
-                return Ok(pass_on(head, body));
+                return Ok(forward_response(head, body));
+            }
+            NextStep::Finish(end) => {
+                return Err(Refusal::after_attempts(end, reason, cx.retry_after(fwd)));
             }
-            NextStep::Finish(end) => return Err(Refusal::of(end, reason, cx.come_back(fwd))),
         }
     }
 }
--- a/crates/bulrushusher_gateway/src/runs/mod.rs
+++ b/crates/bulrushusher_gateway/src/runs/mod.rs
@@ -1,9 +1,9 @@
-//! Plain calls and generations: begun, carried, moved, tried again.
+//! Execution of plain calls and generations: start, streaming, migration and retries.
 
 pub(crate) mod begin;
 pub(crate) mod call;
-pub(crate) mod carrying;
+pub(crate) mod forward;
 pub(crate) mod generation;
-pub(crate) mod moving;
-pub(crate) mod pump;
+pub(crate) mod migration;
 pub(crate) mod run;
+pub(crate) mod stream;
--- /dev/null
+++ b/crates/bulrushusher_gateway/src/runs/stream.rs
@@ -0,0 +1,154 @@
+//! Forwards a stream from its runner to its caller, and resumes it at another runner where
+//! possible.
+
+use std::sync::Arc;
+
+use bulrushusher_forward::{AttemptEnd, AttemptPlan, EventSplitter, NextStep};
+use bulrushusher_time::Millis;
+use hyper::Response;
+use tokio::sync::mpsc::{self, Sender};
+
+use crate::answers::answer::forward_stream;
+use crate::answers::body::{ReplyBody, ResponseAborted, StreamPart};
+use crate::dialect::Dialect;
+use crate::placement::attempts::{AttemptHistory, RunError};
+use crate::runners::router::{ForwardedRequest, Router};
+use crate::runs::begin::start_run;
+use crate::runs::forward::{RunEnd, StreamProgress, forward_run};
+use crate::runs::migration;
+use crate::runs::run::Run;
+
+/// Parts that are buffered for a slow caller; a full channel slows down the runner.
+const CHANNEL_CAPACITY: usize = 16;
+
+/// Longest wait for memory of a stream that is resumed elsewhere: callers leave after a pause of
+/// about four gap targets.
+const RESUME_WAIT: Millis = Millis(1_500);
+
+/// Spawns the task that forwards the stream of `run`; returns the response to the caller.
+pub(crate) fn start<D: Dialect>(
+    cx: Arc<Router<D>>,
+    fwd: ForwardedRequest,
+    plan: AttemptPlan,
+    run: Run<D>,
+) -> Response<ReplyBody> {
+    let (tx, rx) = mpsc::channel(CHANNEL_CAPACITY);
+    let head = run.reply.head.clone();
+    tokio::spawn(async move { forward(&cx, &fwd, plan, run, tx).await });
+    forward_stream(head, ReplyBody::stream(rx))
+}
+
+async fn forward<D: Dialect>(
+    cx: &Arc<Router<D>>,
+    fwd: &ForwardedRequest,
+    mut plan: AttemptPlan,
+    mut run: Run<D>,
+    tx: Sender<StreamPart>,
+) {
+    let mut progress = StreamProgress::new(fwd.request.resume_after);
+    let mut history = AttemptHistory {
+        excluded_decodes: vec![run.runner.id.clone()],
+        ..AttemptHistory::default()
+    };
+    let first_start = run.started;
+    loop {
+        let runner = run.runner.clone();
+        let (started, watch) = (run.started, run.watch.clone());
+        let end = forward_run(cx, fwd, &plan, run, &mut progress, &tx).await;
+        let took = cx.now().since(started);
+        let last = progress.last_event.unwrap_or(0);
+        let result = match &end {
+            RunEnd::Complete => "whole",
+            RunEnd::Migrated(_) => "moved",
+            RunEnd::CallerGone => "caller_gone",
+            RunEnd::DeadlinePassed => "time_over",
+            RunEnd::Broken(_) => "broken",
+        };
+        let cause = if let RunEnd::Broken(cause) = &end { cause.as_str() } else { "" };
+        log::info!(
+            "stream: run ended id={} runner={} result={result} cause=\"{cause}\" \
+             last_event={last} longest_gap_ms={} ms={}",
+            fwd.request.id,
+            runner.id,
+            progress.longest_gap.0,
+            took.0,
+        );
+        cx.metrics.attempt("stream", result, took.0 as f64);
+        match end {
+            RunEnd::Complete => {
+                cx.knowledge.note_answer(fwd.digest);
+                cx.knowledge.note_run_end(&runner, true);
+                let expected = fwd.request.size.map_or(0, |size| size.expected());
+                let generated = last * cx.knowledge.tokens_per_event(&fwd.service);
+                let took = cx.now().since(first_start);
+                cx.knowledge.with_pace(&fwd.service, |pace| {
+                    pace.record_generation(took, expected, generated);
+                });
+                return;
+            }
+            RunEnd::CallerGone => return,
+            RunEnd::Migrated(moved) => {
+                progress.splitter = EventSplitter::default();
+                let resumed = migration::resume(cx, fwd, progress.last_event, moved);
+                let next = tokio::select! {
+                    next = resumed => next,
+                    () = tx.closed() => return,
+                };
+                if let Some(next) = next {
+                    run = next;
+                    continue;
+                }
+            }
+            RunEnd::DeadlinePassed => break,
+            RunEnd::Broken(_) => {
+                watch.connection_lost(cx, &runner).await;
+                cx.knowledge.note_run_end(&runner, false);
+            }
+        }
+        match resume_elsewhere(cx, fwd, &mut plan, &mut progress, &mut history, &tx).await {
+            Some(next) => run = next,
+            None => break,
+        }
+    }
+    // The caller must see that the stream is incomplete.
+    tx.send(Err(ResponseAborted)).await.ok();
+}
+
+/// Resumes the stream at another runner after the last complete event.
+async fn resume_elsewhere<D: Dialect>(
+    cx: &Arc<Router<D>>,
+    fwd: &ForwardedRequest,
+    plan: &mut AttemptPlan,
+    progress: &mut StreamProgress,
+    history: &mut AttemptHistory,
+    tx: &Sender<StreamPart>,
+) -> Option<Run<D>> {
+    let mut end = AttemptEnd::Unknown;
+    loop {
+        match cx.knowledge.next_step(&fwd.service, plan, end) {
+            NextStep::Retry => {}
+            NextStep::ForwardError | NextStep::Finish(_) => return None,
+        }
+        progress.splitter = EventSplitter::default();
+        let until = placement_deadline(fwd, cx.now());
+        history.resume_after = progress.last_event;
+        let next = start_run(cx, fwd, history, until);
+        let next = tokio::select! {
+            next = next => next,
+            () = tx.closed() => return None,
+        };
+        match next {
+            Ok(run) => {
+                history.excluded_decodes.push(run.runner.id.clone());
+                return Some(run);
+            }
+            Err(RunError::Ended(ended, _)) => end = ended,
+            Err(_) => return None,
+        }
+    }
+}
+
+/// Time until which a resumed run may wait for memory.
+fn placement_deadline(fwd: &ForwardedRequest, now: Millis) -> Millis {
+    now.plus(RESUME_WAIT).min(fwd.deadline)
+}
--- a/crates/bulrushusher_gateway/src/settings.rs
+++ b/crates/bulrushusher_gateway/src/settings.rs
@@ -21,32 +21,32 @@
 
 const SETTINGS: &[Setting] = &[
     setting("gateway", "name", Kind::Text, None, "Name of the VM, unique in the deployment."),
-    setting("gateway", "data_centre", Kind::Text, None, "Data centre it stands in."),
-    setting("gateway", "callers", Kind::Address, None, "Where callers' HTTP is taken."),
-    setting("gateway", "ready", Kind::Address, None, "Where the balancer asks for readiness."),
-    setting("gateway", "peers", Kind::Address, None, "Where other gateways' reports are heard."),
-    setting("gateway", "metrics", Kind::Address, None, "Where metrics are served as text."),
+    setting("gateway", "data_centre", Kind::Text, None, "Data centre of the VM."),
+    setting("gateway", "callers", Kind::Address, None, "Listen address for callers' HTTP."),
+    setting("gateway", "ready", Kind::Address, None, "Listen address for readiness checks."),
+    setting("gateway", "peers", Kind::Address, None, "UDP address for other gateways' reports."),
+    setting("gateway", "metrics", Kind::Address, None, "Listen address for metrics as text."),
     setting("gateway", "store", Kind::Address, None, "Address of the platform's store."),
     setting(
         "gateway",
         "max_connections",
         Kind::Count(16, 100_000),
         Some("3000"),
-        "Callers' connections at once; what comes beyond is closed.",
+        "Maximum of callers' connections; further ones are closed at once.",
     ),
     setting(
         "gateway",
         "max_buffered_bytes",
         Kind::Count(65_536, 1 << 32),
         Some("33554432"),
-        "Bytes of request bodies in memory at once; requests beyond are refused as not run.",
+        "Maximum bytes of request bodies in memory; further requests are refused as not run.",
     ),
     setting(
         "gateway",
         "log_lines_per_second",
         Kind::Count(1, 100_000),
         Some("400"),
-        "Log lines a second; what comes beyond is counted and left out.",
+        "Maximum log lines per second; further ones are counted and left out.",
     ),
     setting(
         "bounds",
@@ -67,35 +67,35 @@
         "retry_share",
         Kind::Real(0.0, 1.0),
         Some("0.2"),
-        "Repeats allowed for each request, over all gateways.",
+        "Retries allowed per request, over all gateways.",
     ),
     setting(
         "bounds",
         "retry_burst",
         Kind::Real(0.0, 1_000_000.0),
         Some("50"),
-        "Repeats allowed beyond that share, over all gateways.",
+        "Retries allowed beyond that share, over all gateways.",
     ),
     setting(
         "bounds",
         "order_spacing_ms",
         Kind::Millis(300, 600_000),
         Some("3000"),
-        "Time that must pass between orders of two holders of a duty.",
+        "Minimum time between orders of two successive holders of the ordering lease.",
     ),
     setting(
         "bounds",
         "keys_revoked_ms",
         Kind::Millis(500, 600_000),
         Some("5000"),
-        "Time within which a key that was taken away must be refused, also without the store.",
+        "Time within which a revoked key must be refused, even while the store is unreachable.",
     ),
     setting(
         "quota",
         "window_s",
         Kind::Real(0.1, 3_600.0),
         Some("8"),
-        "Seconds: any span of this length is held to an account's quota.",
+        "Length in seconds of the sliding window to which an account's quota applies.",
     ),
     setting(
         "quota",
@@ -116,105 +116,105 @@
         "sharing",
         Kind::Choice(&["told", "by-demand", "even"]),
         Some("told"),
-        "How gateways share a quota: they tell what they used, or have parts by demand, or even ones.",
+        "How gateways share a quota: by reporting their usage, or by shares, by demand or even.",
     ),
     setting(
         "waiting",
         "order",
         Kind::Choice(&["account", "arrival"]),
         Some("account"),
-        "Who goes first among requests of one rank: client accounts by turns, or whoever came first.",
+        "Order of queued requests of one priority: client accounts in turn, or order of arrival.",
     ),
     setting(
         "waiting",
         "target_share",
         Kind::Real(0.0, 10.0),
         Some("0.5"),
-        "Share of its response-time target that a generation waits for memory before it is refused.",
+        "Wait for memory before a generation is refused, as a share of its response-time target.",
     ),
     setting(
         "waiting",
         "late_wait_ms",
         Kind::Millis(0, 60_000),
         Some("2500"),
-        "How long a generation waits for memory whose target is past.",
+        "Time that a generation waits for memory after its response-time target has passed.",
     ),
     setting(
         "waiting",
         "return_after_ms",
         Kind::Millis(0, 600_000),
         Some("4000"),
-        "When a refused generation is told to come back: after a burst, not into it.",
+        "Retry-After of a refused generation; long enough for a burst to be over.",
     ),
     setting(
         "waiting",
         "return_spread",
         Kind::Real(0.0, 1.0),
         Some("0.2"),
-        "Share of that time over which returns are spread.",
+        "Random spread of that time, as a share of it.",
     ),
     setting(
         "gateways",
         "gone_after_s",
         Kind::Real(1.0, 604_800.0),
         Some("300"),
-        "Silence in seconds after which a gateway's announcement is removed from the store.",
+        "Seconds without a report after which a gateway's announcement is removed from the store.",
     ),
     setting(
         "quarantine",
         "crashes",
         Kind::Count(1, 100),
         Some("2"),
-        "Runners in a row that end on a request before it is run no more.",
+        "Consecutive runner crashes on a request after which it is quarantined.",
     ),
     setting(
         "quarantine",
         "lasts_s",
         Kind::Real(0.0, 604_800.0),
         Some("3600"),
-        "Seconds for which such a request is refused; 0 runs all requests, at once.",
+        "Seconds for which a quarantined request is refused; 0 disables the quarantine at once.",
     ),
     setting(
         "holds",
         "per_expected_output",
         Kind::Real(0.0, 100.0),
         Some("0.0"),
-        "Output tokens held for each one that the caller expects.",
+        "Output tokens held for each token that the caller expects.",
     ),
     setting(
         "forecast",
         "caution",
         Kind::Real(0.0, 10.0),
         Some("2.5"),
-        "Standard deviations above the mean need of a decode runner's runs that must fit.",
+        "Standard deviations above the mean forecast of a decode runner's memory that must fit.",
     ),
     setting(
         "forecast",
         "caution_with_moves",
         Kind::Real(0.0, 10.0),
         Some("1.5"),
-        "The same where runs can move to another runner before memory runs out.",
+        "The same where runs can be migrated to another runner before memory runs out.",
     ),
     setting(
         "forecast",
         "fill",
         Kind::Real(0.1, 1.0),
         Some("0.92"),
-        "Share of a decode runner's memory that may be forecast to be used.",
+        "Maximum share of a decode runner's memory that the forecast may use.",
     ),
     setting(
         "stages",
         "prefill_share",
         Kind::Real(0.0, 0.9),
         Some("0.1"),
-        "Share of a service's model runners that prompts keep busy; 0 leaves stages as they are.",
+        "Share of a service's model runners that prefills keep busy; 0 leaves stages unchanged.",
     ),
     setting(
         "stages",
         "prefill_margin",
         Kind::Real(0.0, 10.0),
         Some("0.48"),
-        "Model runners beyond that share that read prompts, in square roots of their number.",
+        "Prefill runners beyond that share, as a multiple of the square root of the runner count.",
     ),
 ];
 
@@ -223,81 +223,82 @@
 pub struct GatewayConfig {
     /// Name of the VM.
     pub name: VmName,
-    /// Data centre it stands in.
+    /// Data centre of the VM.
     pub data_centre: DataCentreName,
-    /// Where callers' HTTP is taken.
+    /// Listen address for callers' HTTP.
     pub callers: SocketAddr,
-    /// Where the balancer asks for readiness.
+    /// Listen address for readiness checks of the load balancer.
     pub ready: SocketAddr,
-    /// Where other gateways' reports are heard.
+    /// UDP address for other gateways' reports.
     pub peers: SocketAddr,
-    /// Where metrics are served.
+    /// Listen address for metrics.
     pub metrics: SocketAddr,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Callers' connections at once.
+    /// Maximum number of callers' connections.
     pub max_connections: usize,
-    /// Bytes of request bodies in memory at once.
+    /// Maximum bytes of request bodies in memory.
     pub max_buffered_bytes: usize,
-    /// Log lines a second.
+    /// Maximum number of log lines per second.
     pub log_lines_per_second: usize,
     /// Time within which a configuration must be in force.
     pub configuration_in_force: Millis,
-    /// Time within which a key that was taken away must be refused.
+    /// Time within which a revoked key must be refused.
     pub keys_revoked: Millis,
-    /// How strictly quotas of client accounts are kept.
+    /// Enforcement of client accounts' quotas.
     pub quotas: QuotaConfig,
-    /// Least time between orders of two holders of a duty.
-    pub lease: Millis,
-    /// Retry budget of each service; what may be saved up is shared by all gateways.
+    /// Minimum time between orders of two successive holders of the ordering lease.
+    pub order_spacing: Millis,
+    /// Retry budget of each service; the burst is shared by all gateways.
     pub retries: RetryConfig,
     /// Bounds of a graceful shutdown.
     pub shutdown: ShutdownConfig,
-    /// How long generations wait for memory.
+    /// Queue of generations that wait for memory.
     pub waiting: WaitQueueConfig,
-    /// When refused generations come back.
-    pub return_after: Millis,
-    /// Share of that time over which they are spread.
-    pub return_spread: f64,
-    /// When a request that crashes runners is run no more.
+    /// Retry-After of refused generations.
+    pub retry_after: Millis,
+    /// Random spread of that time, as a share of it.
+    pub retry_after_spread: f64,
+    /// When a request that crashes runners is quarantined.
     pub quarantine: QuarantineConfig,
-    /// When other gateways count as gone.
+    /// When other gateways count as live or gone.
     pub gateways: GatewayDirectoryConfig,
-    /// How much memory is held.
+    /// Amount of memory that is held for a generation.
     pub holds: HoldConfig,
-    /// How cautious forecasts of memory are.
+    /// Caution of memory forecasts.
     pub forecast: ForecastConfig,
-    /// The caution where runs can move to another runner.
+    /// Caution, in standard deviations, where runs can be migrated to another runner.
     pub caution_with_moves: f64,
-    /// The wanted ratio of prefill and decode runners.
+    /// Target ratio of prefill and decode runners.
     pub stages: StagesConfig,
-    /// How results at runners are weighed.
+    /// Weighting of the results recorded for runners.
     pub loads: LoadConfig,
-    /// Bounds of the knowledge of runners.
+    /// Limits of the directory of runners.
     pub members: RunnerDirectoryConfig,
 }
 
-/// Part of the allowed share of repeats that gateways spend: windows slide, and requests of the
-/// last window count only as long as they are in it.
+/// Part of the allowed retry share that gateways use: the limit holds in every sliding window, and
+/// requests add to the budget only while they are in the window.
 const RETRY_SHARE_USED: f64 = 0.75;
 
-/// A balancer asks once a second and takes a VM out after two misses; half a second is for the
-/// connections that are on their way then.
+/// Time for which requests are accepted after the signal. The load balancer checks once a second
+/// and removes a VM after two failures; half a second is left for connections in flight by then.
 const ACCEPT_AFTER_SIGNAL: Millis = Millis(2_500);
 
-/// Between the last request's expected end and the kill: a tenth or so of the usual grace.
+/// Time between the expected end of the last request and the kill: about a tenth of the usual
+/// grace.
 const SHUTDOWN_MARGIN: Millis = Millis(900);
 
 impl GatewayConfig {
-    /// When refused generations come back.
-    pub(crate) fn returns(&self) -> RetryAfterConfig {
-        RetryAfterConfig { delay: self.return_after, spread: self.return_spread }
+    /// Configuration of Retry-After for refused generations.
+    pub(crate) fn retry_after_config(&self) -> RetryAfterConfig {
+        RetryAfterConfig { delay: self.retry_after, spread: self.retry_after_spread }
     }
 
-    /// Makes the configuration of checked values.
+    /// Builds the configuration from validated values.
     ///
     /// # Errors
-    /// [`ConfigError`] names the setting and what to give instead.
+    /// [`ConfigError`] with the setting and the values that it accepts.
     pub fn from_values(values: &Values) -> Result<GatewayConfig, ConfigError> {
         let grace = Millis((values.real("bounds", "shutdown_grace_s") * 1_000.0) as u64);
         Ok(GatewayConfig {
@@ -320,7 +321,7 @@
                 slack: values.real("quota", "slack"),
                 ..QuotaConfig::default()
             },
-            lease: values.millis("bounds", "order_spacing_ms"),
+            order_spacing: values.millis("bounds", "order_spacing_ms"),
             retries: RetryConfig {
                 per_request: values.real("bounds", "retry_share") * RETRY_SHARE_USED,
                 max_saved: values.real("bounds", "retry_burst"),
@@ -339,8 +340,8 @@
                 late_wait: values.millis("waiting", "late_wait_ms"),
                 ..WaitQueueConfig::default()
             },
-            return_after: values.millis("waiting", "return_after_ms"),
-            return_spread: values.real("waiting", "return_spread"),
+            retry_after: values.millis("waiting", "return_after_ms"),
+            retry_after_spread: values.real("waiting", "return_spread"),
             quarantine: QuarantineConfig {
                 crash_threshold: values.count("quarantine", "crashes") as u32,
                 duration: Millis((values.real("quarantine", "lasts_s") * 1_000.0) as u64),
@@ -367,11 +368,11 @@
     }
 }
 
-fn sharing(word: &str) -> Sharing {
-    match word {
+fn sharing(value: &str) -> Sharing {
+    match value {
         "even" => Sharing::Even,
         "by-demand" => Sharing::ByDemand,
-        // The only other word that the setting takes.
+        // `told`, the only other value that the setting accepts.
         _ => Sharing::Told,
     }
 }
--- a/crates/bulrushusher_gateway/src/store/feed.rs
+++ b/crates/bulrushusher_gateway/src/store/feed.rs
@@ -13,7 +13,7 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 
-use crate::dialect::{Change, Freshness, NO_WAIT, News, PlatformStore, StoreFailure, Topic};
+use crate::dialect::{Change, ChangeBatch, Freshness, NO_WAIT, PlatformStore, StoreError, Topic};
 use crate::knowledge::Knowledge;
 use crate::store::intake::Intake;
 
@@ -54,7 +54,7 @@
         let mut lost = false;
         let mut era = None;
         // What changed since a first list that is some seconds old comes by the watch or the relay after it.
-        let mut freshness = Freshness::SecondsOld;
+        let mut freshness = Freshness::AllowStale;
         loop {
             let asked_at = self.knowledge.now();
             match self.list(freshness, &mut lost).await {
@@ -67,7 +67,7 @@
                     (lost, pause) = (false, FIRST_PAUSE);
                     let revision = news.revision;
                     let known_era = *era.get_or_insert(era_of(revision));
-                    let is_behind = freshness == Freshness::SecondsOld
+                    let is_behind = freshness == Freshness::AllowStale
                         && revision < self.knowledge.last_known(self.topic);
                     if era_of(revision) < known_era || is_behind {
                         // It lay on its way since before the store came back, or others know more.
@@ -101,7 +101,7 @@
 
     /// Lists the topic. While no page comes it is asked again, each time on a connection of its own; the
     /// first answer counts.
-    async fn list(&self, freshness: Freshness, lost: &mut bool) -> Result<News, StoreFailure> {
+    async fn list(&self, freshness: Freshness, lost: &mut bool) -> Result<ChangeBatch, StoreError> {
         let again = self.slack();
         let longest = Millis(again.0 * u64::from(LISTS_AT_ONCE));
         let pages = AtomicUsize::new(0);
@@ -165,7 +165,7 @@
                 // Only the latest word of the store renews the lease on keys.
                 match self.knowledge.has_accounts() {
                     true => Freshness::Latest,
-                    false => Freshness::SecondsOld,
+                    false => Freshness::AllowStale,
                 }
             }
             Topic::Runners => loop {
@@ -178,7 +178,7 @@
     }
 
     /// Asks the store once what changed that no relay has told.
-    async fn catch_up(&self) -> Result<(), StoreFailure> {
+    async fn catch_up(&self) -> Result<(), StoreError> {
         let revision = self.knowledge.news_seen(self.topic);
         let answer = self.store.watch(self.topic, revision, NO_WAIT, self.slack()).await;
         self.note_call(if answer.is_ok() { "caught_up" } else { "failed" });
@@ -244,10 +244,10 @@
         }
     }
 
-    async fn note_watch_failed(&self, failure: &StoreFailure, revision: u64) {
+    async fn note_watch_failed(&self, failure: &StoreError, revision: u64) {
         match failure {
-            StoreFailure::Restored => self.note_call("restored"),
-            StoreFailure::HistoryGone => {
+            StoreError::Restored => self.note_call("restored"),
+            StoreError::HistoryGone => {
                 self.note_call("history_gone");
                 log::info!("store: history gone topic={} revision={revision}", self.topic);
             }
@@ -255,7 +255,7 @@
                 self.note_call("failed");
                 self.knowledge.note_contact(StoreContact::Lost);
                 log::info!("store: watch failed topic={} cause=\"{e}\"", self.topic);
-                if matches!(e, StoreFailure::Unreadable { .. }) {
+                if matches!(e, StoreError::InvalidResponse { .. }) {
                     // A list follows at once, and a store that answers both so is not asked
                     // in a loop without a pause.
                     self.pause(&mut FIRST_PAUSE.clone()).await;
@@ -308,7 +308,7 @@
     }
 
     fn note_call(&self, result: &'static str) {
-        self.metrics.store_call(self.topic.word(), result);
+        self.metrics.store_call(self.topic.label(), result);
     }
 
     fn share(&self, share: f64) -> Millis {
--- a/crates/bulrushusher_gateway/src/store/intake.rs
+++ b/crates/bulrushusher_gateway/src/store/intake.rs
@@ -8,7 +8,7 @@
 use bulrushusher_report::GatewayMetrics;
 use bulrushusher_world::RunnerId;
 
-use crate::dialect::{Change, News, Topic, Unreadable};
+use crate::dialect::{Change, ChangeBatch, InvalidObject, Topic};
 use crate::knowledge::Knowledge;
 use crate::runners::pool::RunnerPool;
 
@@ -25,14 +25,14 @@
 
 impl Intake {
     /// Takes in a whole list of the store.
-    pub(crate) fn take_list(&self, topic: Topic, news: News) {
+    pub(crate) fn take_list(&self, topic: Topic, news: ChangeBatch) {
         let old = self.knowledge.routing();
         let mut runners = Vec::new();
         let mut unreadable = Vec::new();
         for change in news.changes {
             match change {
                 Change::Runner(runner) => runners.push(runner),
-                Change::Unreadable(bad) => unreadable.extend(self.pass_over(topic, &bad)),
+                Change::Invalid(bad) => unreadable.extend(self.pass_over(topic, &bad)),
                 Change::Configuration(routing) => self.knowledge.take_routing(routing),
                 Change::RunnerGone(id) => self.remove(&id),
             }
@@ -65,7 +65,7 @@
     }
 
     /// Takes in what changed in the store after a revision.
-    pub(crate) fn take_changes(&self, topic: Topic, after: u64, news: News) {
+    pub(crate) fn take_changes(&self, topic: Topic, after: u64, news: ChangeBatch) {
         let old = self.knowledge.routing();
         let mut logged = Vec::new();
         for change in news.changes {
@@ -76,7 +76,7 @@
                 }
                 Change::Runner(runner) => Some(RunnerChange::Entry(runner)),
                 Change::RunnerGone(id) => Some(RunnerChange::Removed(id)),
-                Change::Unreadable(bad) => self.pass_over(topic, &bad),
+                Change::Invalid(bad) => self.pass_over(topic, &bad),
             };
             change.iter().for_each(|change| self.apply(change));
             logged.extend(change);
@@ -172,14 +172,14 @@
     }
 
     /// An entry by another writer names no runner to use, also where its name was good before.
-    fn pass_over(&self, topic: Topic, bad: &Unreadable) -> Option<RunnerChange> {
-        let Unreadable { name, field, cause } = bad;
+    fn pass_over(&self, topic: Topic, bad: &InvalidObject) -> Option<RunnerChange> {
+        let InvalidObject { name, field, cause } = bad;
         log::warn!(
             "store: object cannot be read topic={topic} id=\"{}\" field={field} cause=\"{}\"",
             shortened(name),
             shortened(cause),
         );
-        self.metrics.store_call(topic.word(), "unreadable");
+        self.metrics.store_call(topic.label(), "unreadable");
         let id = RunnerId::try_from(name.as_str()).ok()?;
         (topic == Topic::Runners).then_some(RunnerChange::Unusable(id))
     }
--- a/crates/bulrushusher_gateway/src/store/orders.rs
+++ b/crates/bulrushusher_gateway/src/store/orders.rs
@@ -139,7 +139,7 @@
     }
 
     fn new_duty(&self, restored_at: Option<Millis>) -> Duty {
-        let lease = self.knowledge.cfg().lease;
+        let lease = self.knowledge.cfg().order_spacing;
         let cfg = OrderLeaseConfig { lease, max_order_delay: CALL_TIMEOUT };
         let mut may = OrderLease::new(cfg);
         if let Some(at) = restored_at {
@@ -242,10 +242,11 @@
     /// Asks the runner itself; the list may be late.
     async fn orders_accepted(&self, duty: &mut Duty, change: &StageChange) -> Result<u64, String> {
         let runner = &change.runner;
-        let call = self.dialect.ask_report(&runner.id);
-        let answer = self.exchanger.side_call(runner, call, Permit::Needed, CALL_TIMEOUT).await;
+        let call = self.dialect.status_request(&runner.id);
+        let answer =
+            self.exchanger.control_request(runner, call, Permit::Acquire, CALL_TIMEOUT).await;
         let (_, body) = answer.map_err(|e| format!("{} gives no report: {e}", runner.id))?;
-        let report = self.dialect.report(&runner.id, &body).map_err(|e| e.to_string())?;
+        let report = self.dialect.parse_status(&runner.id, &body).map_err(|e| e.to_string())?;
         // Runners of some platforms tell their start in their entries only. The order names their identity and
         // the count of orders that they told, so that another start refuses it or has as many.
         let born = report.born.or(runner.born);
@@ -296,11 +297,12 @@
         let holder = self.knowledge.cfg().name.to_string();
         let stage = change.stage;
         let order = StageOrder { runner: &runner.id, stage, holder: &holder, fence, accepted };
-        let call = self.dialect.order_stage(&order);
+        let call = self.dialect.change_stage(&order);
         let known_since = self.knowledge.now();
         duty.ordered.insert(runner.id.clone(), Ordered { stage, born: runner.born, known_since });
         duty.last_order = Some(known_since);
-        let answer = self.exchanger.side_call(runner, call, Permit::Exempt, CALL_TIMEOUT).await;
+        let answer =
+            self.exchanger.control_request(runner, call, Permit::Exempt, CALL_TIMEOUT).await;
         let (result, detail) = match answer {
             Ok((head, _)) if matches!(head.status, StatusCode::OK | StatusCode::ACCEPTED) => {
                 self.pause_while_changing(runner);
--- a/crates/bulrushusher_gateway/src/store/renewing.rs
+++ b/crates/bulrushusher_gateway/src/store/renewing.rs
@@ -9,7 +9,7 @@
 use bulrushusher_report::GatewayMetrics;
 use bulrushusher_time::Millis;
 
-use crate::dialect::{Change, Freshness, NO_WAIT, News, PlatformStore, StoreFailure, Topic};
+use crate::dialect::{Change, ChangeBatch, Freshness, NO_WAIT, PlatformStore, StoreError, Topic};
 use crate::knowledge::Knowledge;
 use crate::store::intake::Intake;
 
@@ -78,7 +78,7 @@
         let after = self.knowledge.news_seen(topic);
         let answer = match self.store.watch(topic, after, NO_WAIT, CALL_TIMEOUT).await {
             // Nobody has asked for longer than the store remembers.
-            Err(StoreFailure::HistoryGone) => self.list().await,
+            Err(StoreError::HistoryGone) => self.list().await,
             answer => answer,
         };
         let word = if answer.is_ok() { "renewed" } else { "not_renewed" };
@@ -91,13 +91,13 @@
 
     /// Asks for the configuration as it is. A store that came back from an older copy is for the feed to
     /// take in, which hears of it here.
-    async fn list(&self) -> Result<News, StoreFailure> {
+    async fn list(&self) -> Result<ChangeBatch, StoreError> {
         let (topic, freshness) = (Topic::Configuration, Freshness::Latest);
         let news = self.store.list(topic, freshness, CALL_TIMEOUT, &|_: &[Change]| ()).await?;
         if era_of(news.revision) != era_of(self.knowledge.news_seen(topic)) {
             let told = SeenRevisions { configuration: news.revision, ..SeenRevisions::default() };
             self.knowledge.hear_store_news(told);
-            return Err(StoreFailure::Restored);
+            return Err(StoreError::Restored);
         }
         Ok(news)
     }
