--- a/crates/bulrushusher_gateway/src/knowledge/accounts.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/accounts.rs
@@ -1,4 +1,4 @@
-//! What is known of client accounts: the lease on their keys, and what they use of their quotas.
+//! State of client accounts: the lease on their API keys, and their quota usage.
 
 use bulrushusher_accounts::{AccountUsage, Freshness, LeaseConfig, OverQuota, Quota, UsageReport};
 use bulrushusher_forward::RoutingConfig;
@@ -8,34 +8,35 @@
 use super::Knowledge;
 
 impl Knowledge {
-    /// The store confirmed the configuration in answer to a question of that moment.
+    /// Renews the lease: the store confirmed the configuration in response to a request sent at
+    /// `requested_at`.
     pub(crate) fn renew_lease(&self, requested_at: Millis) {
         if !self.store_is_behind() {
             self.lease.lock().renew(requested_at);
         }
     }
 
-    /// A later configuration is in force than the one that is known here.
+    /// Revokes the lease: a later configuration than the local one is in force.
     pub(crate) fn revoke_lease(&self) {
         self.lease.lock().revoke(self.now());
     }
 
-    /// How far the configuration may be acted on.
+    /// How far decisions may rely on the configuration.
     pub(crate) fn freshness(&self) -> Freshness {
         self.lease.lock().freshness(self.lease_cfg(), self.now())
     }
 
-    /// Age of the store's last word on the configuration.
+    /// Time since the store last confirmed the configuration.
     pub(crate) fn evidence_age(&self) -> Option<Millis> {
         self.lease.lock().age(self.now())
     }
 
-    /// Time until the store must be asked again; `None` while no request needs a key.
+    /// Time until the lease must be renewed. `None` while no request needs a key.
     pub(crate) fn lease_due_in(&self) -> Option<Millis> {
         self.has_accounts().then(|| self.lease.lock().renew_in(self.lease_cfg(), self.now()))
     }
 
-    /// True while callers may be sent here.
+    /// True while this gateway may receive requests.
     pub(crate) fn is_ready(&self) -> bool {
         let keys_are_checked = || self.lease.lock().is_ready(self.lease_cfg(), self.now());
         self.can_serve() && (!self.has_accounts() || keys_are_checked())
@@ -50,14 +51,15 @@
         LeaseConfig { revocation_bound: cfg.keys_revoked, fresh_for: cfg.configuration_in_force }
     }
 
-    /// Takes the quotas of a configuration.
+    /// Applies the quotas of a configuration.
     pub(super) fn set_quotas(&self, routing: &RoutingConfig) {
         let Some(accounts) = routing.accounts() else { return };
         let quotas = accounts.accounts().map(|account| (&account.name, account.quota));
         self.quotas.lock().set_quotas(quotas, self.now());
     }
 
-    /// Counts a request to an account, and has peers told when it matters to them.
+    /// Charges a request to an account, and schedules a report to the peers if the usage is
+    /// significant.
     pub(crate) fn charge(&self, account: &ClientAccountName, cost: u64) -> Result<(), OverQuota> {
         let mut quotas = self.quotas.lock();
         quotas.admit(account, cost, self.now())?;
@@ -69,22 +71,22 @@
         Ok(())
     }
 
-    /// A request that was counted has not run.
+    /// Refunds a charged request that has not run.
     pub(crate) fn refund(&self, account: &ClientAccountName, cost: u64) {
         self.quotas.lock().refund(account, cost, self.now());
     }
 
-    /// What peers are told of the use of quotas.
+    /// The usage to report to all peers.
     pub(crate) fn take_usage(&self, full: bool) -> UsageReport {
         self.quotas.lock().take_report(full, self.now())
     }
 
-    /// All that this gateway has to tell, for one peer.
+    /// All usage, for a single peer that has missed reports.
     pub(crate) fn resync_usage(&self) -> UsageReport {
         self.quotas.lock().resync_report(self.now())
     }
 
-    /// Takes in what a peer told of it.
+    /// Merges the usage that a peer reports.
     pub(super) fn merge_usage(
         &self,
         peer: &str,
@@ -95,18 +97,18 @@
         self.quotas.lock().merge_report(peer, incarnation, usage, full, self.now());
     }
 
-    /// So many other gateways have announced themselves.
+    /// Sets the number of other gateways that have announced themselves.
     pub(crate) fn set_announced_gateways(&self, others: usize) {
         self.pressure.lock().set_announced(others);
         self.quotas.lock().set_announced_peers(others);
     }
 
-    /// What every account used.
+    /// Usage of every account.
     pub(crate) fn account_usage(&self) -> Vec<AccountUsage> {
         self.quotas.lock().usage(self.now())
     }
 
-    /// An account's quota in one window, in its unit.
+    /// The quota of an account for one window, in the unit of the quota.
     pub(crate) fn quota_in_window(&self, quota: Quota) -> f64 {
         quota.in_window(self.cfg.load().quotas.window)
     }
--- a/crates/bulrushusher_gateway/src/knowledge/crashes.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/crashes.rs
@@ -1,4 +1,4 @@
-//! Which requests crash runners, as this gateway and its peers saw it.
+//! Requests that crash runners, as observed by this gateway and its peers.
 
 use bulrushusher_routing::{
     CrashUpdate, CrashVerdict, Quarantine, Quarantined, RequestDigest, Suspect,
@@ -7,13 +7,13 @@
 
 use super::Knowledge;
 
-/// What is known of crashes, and what peers and the store have yet to be told.
+/// The quarantine, with updates that the peers and the store have not received yet.
 #[derive(Debug)]
 pub(super) struct CrashState {
     pub quarantine: Quarantine,
-    /// For the peers.
+    /// Update for the peers.
     for_peers: CrashUpdate,
-    /// Found out by this gateway, for the store.
+    /// Entries that this gateway has added, for the store.
     for_store: Vec<Quarantined>,
 }
 
@@ -24,22 +24,24 @@
 }
 
 impl Knowledge {
-    /// How long the request is still kept from runners; `None` when it may run.
+    /// Time until the request leaves quarantine. `None` if it may run.
     pub(crate) fn quarantine_remaining(&self, digest: RequestDigest) -> Option<Millis> {
         self.crashes.lock().quarantine.remaining(digest, self.now())
     }
 
-    /// Crashes in a row of a request that is sent to a runner now.
+    /// Number of consecutive crashes of a request.
     pub(crate) fn crash_count(&self, digest: RequestDigest) -> u32 {
         self.crashes.lock().quarantine.crash_count(digest)
     }
 
-    /// True when a runner that ended so long after it began a request may have ended on it.
+    /// True if a runner that ended `ran_for` after it started a request may have crashed because of
+    /// it.
     pub(crate) fn in_crash_window(&self, ran_for: Millis) -> bool {
         self.crashes.lock().quarantine.in_crash_window(ran_for)
     }
 
-    /// A runner ended on a request that had crashed `before` others when it was sent.
+    /// Records that a runner crashed on a request that had `crashes_before` crashes when it was
+    /// sent.
     pub(crate) fn record_crash(&self, digest: RequestDigest, crashes_before: u32) -> CrashVerdict {
         let now = self.now();
         let mut crashes = self.crashes.lock();
@@ -63,7 +65,7 @@
         verdict
     }
 
-    /// A request was answered.
+    /// Records that a request was answered, which clears its crashes.
     pub(crate) fn record_answer(&self, digest: RequestDigest) {
         let mut crashes = self.crashes.lock();
         if crashes.quarantine.record_answer(digest) {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Takes in a peer's news; returns what it does not know of the same requests.
+    /// Applies the update of a peer. Returns what the peer lacks about the same requests.
     pub(crate) fn apply_crash_update(&self, peer: &str, update: &CrashUpdate) -> CrashUpdate {
         let now = self.now();
         let mut crashes = self.crashes.lock();
@@ -90,29 +92,29 @@
         reply
     }
 
-    /// Takes in what the store holds; returns how many requests are new in quarantine.
+    /// Inserts the entries of the store. Returns the number of new ones.
     pub(crate) fn insert_quarantined(&self, entries: &[Quarantined]) -> usize {
         let now = self.now();
         let mut crashes = self.crashes.lock();
         entries.iter().filter(|entry| crashes.quarantine.insert(**entry, now)).count()
     }
 
-    /// What peers have yet to be told.
+    /// Takes the update that the peers have not received yet.
     pub(crate) fn take_crash_update(&self) -> CrashUpdate {
         std::mem::take(&mut self.crashes.lock().for_peers)
     }
 
-    /// What the store has yet to be told.
+    /// Entries that the store has not received yet.
     pub(crate) fn unwritten_quarantined(&self) -> Vec<Quarantined> {
         self.crashes.lock().for_store.clone()
     }
 
-    /// The store holds these.
+    /// Records that the store holds these entries.
     pub(crate) fn mark_quarantined_written(&self, written: &[Quarantined]) {
         self.crashes.lock().for_store.retain(|entry| !written.contains(entry));
     }
 
-    /// The store has lost what it was told: it is told all again.
+    /// Schedules all entries to be written again, after the store was restored from an older copy.
     pub(crate) fn rewrite_quarantined(&self) {
         let all = self.all_quarantined();
         if !all.is_empty() {
--- a/crates/bulrushusher_gateway/src/knowledge/health.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/health.rs
@@ -1,4 +1,4 @@
-//! Which runners fail runs, over all gateways.
+//! Detects runners that fail runs, over all gateways.
 
 use std::collections::BTreeSet;
 
@@ -9,8 +9,8 @@
 use super::{Knowledge, Runners};
 
 impl Knowledge {
-    /// A run or a reading at the runner ended well, or did not. What an earlier start did says
-    /// nothing of this one.
+    /// Records whether a run or a prefill at the runner succeeded. A result of an earlier process
+    /// start is ignored.
     pub(crate) fn record_run_end(&self, runner: &Runner, good: bool) {
         if self.is_superseded(runner) {
             return;
@@ -35,14 +35,14 @@
         }
     }
 
-    /// Forgets how runs ended at a runner that is gone.
+    /// Forgets the run results of a runner that is gone.
     pub(crate) fn forget_run_ends(&self, runner: &RunnerId) {
         self.health.lock().forget(runner);
         self.forget_pauses(runner);
     }
 
-    /// Runners of the service that fail too many runs. Empty when that is true of so many that the
-    /// cause must be another one.
+    /// Runners of the service that fail too many runs. Empty if too many runners fail, since the
+    /// cause must then be another one.
     pub(super) fn failing(
         &self,
         runners: &Runners,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// What peers are told of runners that fail.
+    /// The failure reports for the peers.
     pub(super) fn failure_reports(&self) -> Vec<RunCounts> {
         let now = self.now();
         let at_peers = self.runs.lock().failures_at_peers(now).into_keys().collect();
--- a/crates/bulrushusher_gateway/src/knowledge/memory.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/memory.rs
@@ -1,4 +1,4 @@
-//! What is known of memory at decode runners and of prompts at prefill runners, over all gateways.
+//! Forecasts of memory at decode runners, and prompts at prefill runners, over all gateways.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,9 @@
 
 use super::Knowledge;
 
-/// What a forecast rests on.
+/// The inputs of a memory forecast, for the log: the number of decode runners, the lowest forecast
+/// peak among them in tokens, the highest peak that is allowed in tokens, and the number of live
+/// peers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ForecastSummary {
     pub runners: usize,
@@ -21,9 +23,9 @@
 }
 
 impl Knowledge {
-    /// Decode runners with room for the run, as far as can be forecast, in the order in which to
-    /// ask them for memory. Where no prefill runner can read the prompt in time, `reads_itself`
-    /// leaves those that may read it.
+    /// Decode runners that are forecast to have room for the run, in the order in which to request
+    /// memory from them. If no prefill runner can prefill the prompt in time, `prefills_itself`
+    /// restricts them to those that may prefill it themselves.
     pub(crate) fn rank_for_decode(
         &self,
         service: &ServiceName,
@@ -51,8 +53,7 @@
         })
     }
 
-    /// What decided that a run got no memory, for the log: the lowest forecast among the decode
-    /// runners, what may be forecast at most, how many runners and peers that rests on.
+    /// Summarises why a run got no memory.
     pub(crate) fn forecast_summary(&self, service: &ServiceName, run: RunShape) -> ForecastSummary {
         let forecast = self.forecast(service);
         let run = forecast.need(&[run]);
@@ -74,7 +75,7 @@
         })
     }
 
-    /// What a forecast of a runner's memory rests on, beside its runs.
+    /// The forecast parameters of a service: output lengths, speed and memory of its runners.
     pub(super) fn forecast(&self, service: &ServiceName) -> MemoryForecast {
         let engine = self.engine(service);
         let memory = engine.map_or(f64::INFINITY, |engine| engine.memory_tokens as f64);
@@ -91,30 +92,31 @@
         })
     }
 
-    /// Memory for a run is held.
+    /// Adds a run for which memory is reserved.
     pub(crate) fn add_run(&self, report: RunReport) -> RunNumber {
         self.report_due.notify_one();
         self.runs.lock().add(report)
     }
 
-    /// A run has begun, or has made that many tokens; peers reckon its growth themselves.
+    /// Records that a run has started or has generated `made` tokens. Peers extrapolate the growth
+    /// of a run, so no report is due.
     pub(crate) fn record_run_progress(&self, run: RunNumber, made: u64) {
         self.runs.lock().progress(run, made);
     }
 
-    /// A run makes nothing at present; peers are told.
+    /// Records that a run is not generating tokens at present, and reports it to the peers.
     pub(crate) fn record_run_stall(&self, run: RunNumber) {
         self.runs.lock().stall(run);
         self.report_due.notify_one();
     }
 
-    /// A run is over.
+    /// Removes a run that has ended.
     pub(crate) fn end_run(&self, run: RunNumber) {
         self.runs.lock().end(run);
         self.report_due.notify_one();
     }
 
-    /// Runners of a service whose stage changes, as far as this gateway knows; peers are told.
+    /// Sets the runners of a service that are switching stage, and reports a change to the peers.
     pub(crate) fn set_switching(&self, service: &ServiceName, runners: Vec<RunnerId>) {
         let old = self.switching.lock().insert(service.clone(), runners.clone());
         if old.unwrap_or_default() != runners {
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Takes in a peer's report.
+    /// Merges the full report of a peer.
     pub(crate) fn merge_report(&self, peer: &str, mut report: GatewayReport) {
         let now = self.now();
         let (incarnation, usage) = (report.incarnation, std::mem::take(&mut report.spends));
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Takes in what changed at a peer.
+    /// Applies the delta report of a peer.
     pub(crate) fn apply_delta(&self, peer: &str, mut delta: GatewayDelta) -> DeltaOutcome {
         let now = self.now();
         let report = &mut delta.report;
@@ -151,21 +153,22 @@
         outcome
     }
 
-    /// True while a peer has a generation in line that can still be on time.
+    /// True while a peer has a queued generation that can still be on time.
     pub(crate) fn peers_have_on_time_waiting(&self) -> bool {
         let now = self.now();
         self.runs.lock().peers_have_on_time_waiting(now)
     }
 
-    /// True when this gateway may ask one of `open` runners for memory now, with regard to peers
-    /// that wait for it too.
+    /// True if this gateway may request memory from one of `open` runners now. Gateways with queued
+    /// requests take turns.
     pub(crate) fn may_request_memory(&self, open: usize) -> bool {
         let now = self.now();
         let peers = self.runs.lock().peers_with_waiting(now);
         should_request_memory(self.draw(), peers, open)
     }
 
-    /// Generations that wait here: those that can still be on time, and the late ones.
+    /// Queued generations of this gateway: those that can still be on time, and those that are
+    /// late.
     fn waiting_counts(&self) -> (u32, u32) {
         let queues = self.queues.lock();
         let all: usize = queues.values().map(WaitQueue::len).sum();
@@ -173,7 +176,7 @@
         (on_time as u32, (all - on_time) as u32)
     }
 
-    /// What peers are told.
+    /// Builds the next report to the peers.
     pub(crate) fn report(&self, incarnation: u64, sequence: u64) -> GatewayReport {
         let (prefill_tokens, silent) = self.with_runners(|runners, now| {
             (runners.loads.queued_prompts(), runners.loads.unreachable(now))
@@ -207,7 +210,7 @@
         report
     }
 
-    /// Prompt tokens that wait at a prefill runner, over all gateways.
+    /// Prompt tokens queued at a prefill runner, over all gateways.
     pub(crate) fn queued_prefill_tokens(&self, runner: &RunnerId) -> u64 {
         self.with_runners(|runners, now| {
             runners.loads.queued_prompt_tokens(runner)
@@ -215,13 +218,13 @@
         })
     }
 
-    /// Tokens in one event of the service's engine.
+    /// Tokens in one stream event of the service's engine.
     pub(crate) fn tokens_per_event(&self, service: &ServiceName) -> u64 {
         self.engine(service).map_or(1, |engine| engine.tokens_per_event)
     }
 
-    /// What a decode runner does beside one run of this gateway's, over all gateways: prompts that
-    /// it reads itself, and other runs.
+    /// Load of a decode runner apart from one run of this gateway, over all gateways: prompts that
+    /// the runner prefills itself, and other runs.
     pub(crate) fn decode_load(&self, service: &ServiceName, runner: &RunnerId) -> DecodeLoad {
         let now = self.now();
         let forecast = self.forecast(service);
@@ -234,7 +237,7 @@
         }
     }
 
-    /// The runner of a run reads its prompt itself.
+    /// Records that the decode runner of a run prefills the prompt itself.
     pub(crate) fn mark_run_prefills_itself(&self, run: RunNumber) {
         self.runs.lock().mark_prefills_itself(run);
         self.report_due.notify_one();
--- a/crates/bulrushusher_gateway/src/knowledge/mod.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/mod.rs
@@ -1,8 +1,9 @@
-//! What the gateway believes: configuration, runners, loads, budgets, paces.
+//! Shared state of the gateway: configuration, runners, their load, retry budgets and timing
+//! models.
 //!
-//! Lock order, where two are taken at once: runners, then budgets, then lines, then paces, then
-//! runs, then relays, then passed, then health, then pauses, then news, then changing, then crashes, then pressure, then
-//! quotas, then lease. No lock is held across an await.
+//! Lock order where two locks are held at once: `runners`, `retry_budgets`, `queues`, `timings`,
+//! `runs`, `relays`, `relayed`, `health`, `pauses`, `revisions`, `switching`, `crashes`,
+//! `pressure`, `quotas`, `lease`. No lock is held across an await point.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -42,18 +43,18 @@
 pub(crate) use moves::MoveDecision;
 pub(crate) use relayed::RoutingUpdate;
 
-/// Fewest parts that the shared burst of repeats is split into. A gateway that starts again has a
-/// full part, and one that hears no peer does not know how many there are.
+/// Minimum number of parts that the shared retry burst is split into. A gateway that restarts has a
+/// full part, and a gateway that receives no peer reports does not know the number of gateways.
 const MIN_RETRY_SHARERS: usize = 10;
 
-/// Runners and what this gateway has there.
+/// The runner directory, and the load that this gateway has placed on each runner.
 #[derive(Debug)]
 pub(crate) struct Runners {
     pub directory: RunnerDirectory,
     pub loads: RunnerLoads,
 }
 
-/// Everything that is believed.
+/// The state that the tasks of a gateway share.
 #[derive(Debug)]
 pub(crate) struct Knowledge {
     pub clock: Clock,
@@ -66,42 +67,42 @@
     patience: Mutex<TypicalPatience>,
     runs: Mutex<Runs>,
     health: Mutex<RunnerHealth>,
-    /// Pauses in this gateway's streams, by runner that reads a prompt.
+    /// Pauses in this gateway's streams, by decode runner that is prefilling a prompt.
     pauses: Mutex<HashMap<RunnerId, pauses::PauseStats>>,
-    /// What the store told of its changes.
+    /// Revisions of the store that this gateway has received.
     revisions: Mutex<revisions::RevisionState>,
-    /// Runners whose stage changes, by service.
+    /// Runners that are switching stage, by service.
     switching: Mutex<HashMap<ServiceName, Vec<RunnerId>>>,
     /// Requests that crash runners.
     crashes: Mutex<crashes::CrashState>,
-    /// What runners asked for in their answers.
+    /// Back-pressure that runners signalled in their responses.
     pressure: Mutex<BackPressure>,
-    /// What client accounts use of their quotas.
+    /// Quota usage of client accounts.
     quotas: Mutex<QuotaLimiter>,
-    /// How long keys may be acted on without new word of the store.
+    /// How long API keys may be accepted without confirmation by the store.
     lease: Mutex<ConfigLease>,
-    /// Who watches the store.
+    /// Selection of the gateways that watch the store.
     relays: Mutex<relays::RelayState>,
-    /// What is passed on of the store's changes.
+    /// Changes of the store that relays forward.
     relayed: Mutex<relayed::RelayedChanges>,
     relay_view: watch::Sender<RelayView>,
-    /// True once this gateway shuts down.
+    /// True once this gateway is shutting down.
     shutting_down: AtomicBool,
-    /// Raised each time that the store was seen to have come back from an older copy.
+    /// Number of times that the store was restored from an older copy.
     restores: watch::Sender<u64>,
-    /// Notified when a caller brings a key that cannot be checked.
+    /// Notified when a caller presents a key that cannot be checked.
     pub lease_due: Notify,
-    /// Notified when peers should hear of something new.
+    /// Notified when a report to the peers is due.
     pub report_due: Notify,
-    /// Notified when peers should hear of a request that crashes runners.
+    /// Notified when the peers must receive an update on requests that crash runners.
     pub crash_update_due: Notify,
-    /// Notified when gateways that listen should hear of changes of the store.
+    /// Notified when a relay has changes of the store to forward.
     pub forward_due: Notify,
-    /// Notified when a relay has told of changes.
+    /// Notified when a relay has reported newer revisions.
     relay_revisions_changed: Notify,
-    /// Notified when the store itself must be asked what changed of runners.
+    /// Notified when the changes of the runner list must be requested from the store itself.
     pub store_poll_due: Notify,
-    /// Notified when the store should be looked at for such requests, or told of one.
+    /// Notified when the quarantine record in the store must be read or written.
     pub quarantine_due: Notify,
     draws: Mutex<ChaCha8Rng>,
 }
@@ -164,7 +165,7 @@
         self.cfg.load_full()
     }
 
-    /// Takes other settings; what waits keeps its place.
+    /// Applies new settings. Queued requests keep their rank.
     pub(crate) fn reconfigure(&self, cfg: GatewayConfig) {
         for queue in self.queues.lock().values_mut() {
             queue.reconfigure(cfg.waiting);
@@ -179,12 +180,12 @@
         self.routing.load_full()
     }
 
-    /// The engine of a service, where it serves models.
+    /// The engine of a service, if the service runs models.
     pub(crate) fn engine(&self, service: &ServiceName) -> Option<EngineSpec> {
         self.routing()?.service(service)?.engine
     }
 
-    /// Puts a configuration in force unless one at least as high is.
+    /// Puts a configuration in force unless one of the same or a later version already is.
     pub(crate) fn apply_routing(&self, routing: RoutingConfig) {
         self.record_stored_version(routing.version);
         if self.routing().is_some_and(|old| routing.version <= old.version) {
@@ -194,7 +195,7 @@
         let accounts = routing.accounts().map(AccountTable::len);
         self.set_quotas(&routing);
         self.routing.store(Some(Arc::new(routing)));
-        // Whoever renews the lease waits while no request needs a key.
+        // The lease keeper sleeps while no request needs a key.
         self.lease_due.notify_one();
         log::info!(
             "configuration: in force version={version} routes={routes} accounts={}",
@@ -202,12 +203,12 @@
         );
     }
 
-    /// True once requests can be served: a configuration is in force, and some runners are known.
+    /// True once requests can be served: a configuration is in force and some runners are known.
     pub(crate) fn can_serve(&self) -> bool {
         self.routing.load().is_some() && self.runners.lock().directory.has_entries()
     }
 
-    /// True once all runners are known too.
+    /// True once a configuration is in force and the full list of runners is known.
     pub(crate) fn is_complete(&self) -> bool {
         self.routing.load().is_some() && self.runners.lock().directory.has_full_list()
     }
@@ -217,7 +218,7 @@
         f(&mut self.runners.lock(), now)
     }
 
-    /// A runner for a plain call.
+    /// Selects a runner for a plain call.
     pub(crate) fn pick_for_call(
         &self,
         service: &ServiceName,
@@ -233,7 +234,7 @@
         })
     }
 
-    /// A runner that reads a prompt.
+    /// Selects a runner to prefill a prompt.
     pub(crate) fn pick_for_prefill(
         &self,
         service: &ServiceName,
@@ -247,7 +248,7 @@
         })
     }
 
-    /// Chooses among a service's model runners, with what peers tell of them.
+    /// Selects among the model runners of a service, with the runs and failures that peers report.
     fn with_candidates<T>(
         &self,
         service: &ServiceName,
@@ -268,14 +269,14 @@
         })
     }
 
-    /// True when the service's runners each do one half of a generation.
+    /// True if the runners of the service are split into prefill and decode runners.
     pub(crate) fn is_split(&self, service: &ServiceName) -> bool {
         self.with_runners(|runners, now| {
             runners.directory.usable(service, now).any(|runner| runner.stage.is_some())
         })
     }
 
-    /// True while this start of the runner may get new work.
+    /// True while this process start of the runner may receive new work.
     pub(crate) fn accepts_work(&self, runner: &Runner) -> bool {
         self.with_runners(|runners, now| {
             let entry = runners.directory.get(&runner.id, now);
@@ -283,12 +284,12 @@
         })
     }
 
-    /// The runner gets no work for that long.
+    /// Sends the runner no work for `length`.
     pub(crate) fn pause_runner(&self, runner: &RunnerId, length: Millis) {
         self.with_runners(|runners, now| runners.loads.pause(runner, now.plus(length)));
     }
 
-    /// Takes in how a call to a runner went. What an earlier start did says nothing of this one.
+    /// Records the result of a call to a runner. A result of an earlier process start is ignored.
     pub(crate) fn record_call(&self, runner: &Runner, result: CallResult) {
         self.with_runners(|runners, now| {
             if !runners.directory.is_superseded(runner) {
@@ -300,12 +301,12 @@
         }
     }
 
-    /// A request for the service came.
+    /// Credits the retry budget of the service for a new request.
     pub(crate) fn earn_retry(&self, service: &ServiceName) {
         self.with_budget(service, RetryBudget::earn);
     }
 
-    /// What may follow an attempt.
+    /// Decides what follows an attempt.
     pub(crate) fn next_step(
         &self,
         service: &ServiceName,
@@ -315,8 +316,8 @@
         self.with_budget(service, |budget| plan.next_step(end, budget))
     }
 
-    /// Gives a late attempt up if another runner than those `tried` would take the call well and the budget
-    /// of repeats allows it; returns whether it did.
+    /// Abandons a late attempt if a runner outside `tried` accepts calls and the retry budget
+    /// allows another attempt. Returns whether it did.
     pub(crate) fn abandon_late(
         &self,
         service: &ServiceName,
@@ -331,7 +332,7 @@
             && self.with_budget(service, |budget| plan.abandon(budget))
     }
 
-    /// Takes one repeat from the budget; false when none is left.
+    /// Takes one retry from the budget. Returns false if none is left.
     pub(crate) fn take_retry(&self, service: &ServiceName) -> bool {
         self.with_budget(service, RetryBudget::take)
     }
@@ -345,7 +346,7 @@
         f(budget)
     }
 
-    /// Joins the line of a service.
+    /// Adds a request to the queue of a service.
     pub(crate) fn join_queue(
         &self,
         service: &ServiceName,
@@ -357,13 +358,13 @@
         self.update_queue(service, |queue| queue.join(late, priority, claim, now))
     }
 
-    /// Leaves the line of a service.
+    /// Removes a request from the queue of a service.
     pub(crate) fn leave_queue(&self, service: &ServiceName, rank: &QueueRank) {
         self.update_queue(service, |queue| queue.leave(rank));
     }
 
-    /// Changes a line, and lets peers know when it begins or ceases to wait: they take turns with
-    /// those that do.
+    /// Updates a queue. Reports to the peers when its on-time or its late part becomes empty or
+    /// non-empty, since gateways with queued requests take turns.
     fn update_queue<T>(&self, service: &ServiceName, f: impl FnOnce(&mut WaitQueue) -> T) -> T {
         let non_empty = |queue: &WaitQueue| (queue.on_time() > 0, queue.len() > queue.on_time());
         let (result, changed) = self.with_queue(service, |queue| {
@@ -398,13 +399,13 @@
             .or_insert_with(|| TimingModel::new(TimingConfig::default())))
     }
 
-    /// Time since the caller's first attempt, as far as its patience tells.
+    /// Time since the caller's first attempt, estimated from its patience.
     pub(crate) fn elapsed_before(&self, route: &Route, patience: Millis) -> Millis {
         let returns = self.cfg.load().returns();
         self.patience.lock().elapsed(&route.name, patience, &returns)
     }
 
-    /// Requests that wait for memory, over all services.
+    /// Number of requests that are queued for memory, over all services.
     pub(crate) fn queued_requests(&self) -> usize {
         self.queues.lock().values().map(WaitQueue::len).sum()
     }
--- a/crates/bulrushusher_gateway/src/knowledge/moves.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/moves.rs
@@ -1,24 +1,24 @@
-//! Which run should leave its decode runner, and for which other one.
+//! Decides which run should move to another decode runner.
 
 use bulrushusher_forward::{RunNumber, RunReport, Runner, pick_for_move};
 use bulrushusher_world::ServiceName;
 
 use super::Knowledge;
 
-/// What should become of a run.
+/// Whether a run should move.
 #[derive(Clone, Debug)]
 pub(crate) enum MoveDecision {
-    /// It stays: its runner has memory, or another run is to leave first.
+    /// The run stays: its runner has memory, or another run is to move first.
     Stay,
-    /// It should leave, and no runner has room for it.
+    /// The run should move, but no runner has room for it.
     NoCapacity,
-    /// It should go on at that runner.
+    /// The run should continue at the runner `to`.
     Move { to: Runner, report: RunReport },
 }
 
 impl Knowledge {
-    /// Whether the run should move now: its runner is about to run out of memory, and it is the one
-    /// that would be preempted.
+    /// Decides whether the run should move now, because its runner is about to run out of memory
+    /// and would preempt it.
     pub(crate) fn move_decision(&self, service: &ServiceName, run: RunNumber) -> MoveDecision {
         if !self.engine(service).is_some_and(|engine| engine.can_move_runs) {
             return MoveDecision::Stay;
--- a/crates/bulrushusher_gateway/src/knowledge/pauses.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/pauses.rs
@@ -1,4 +1,4 @@
-//! What readings at decode runners do to the other runs there.
+//! Measures how prefills at decode runners delay the other runs there.
 
 use std::sync::Arc;
 
@@ -8,21 +8,22 @@
 
 use super::Knowledge;
 
-/// Pauses in this gateway's streams at one runner, while that reads a prompt for it.
+/// Pauses in this gateway's streams at one runner, while the runner prefills a prompt of this
+/// gateway.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PauseStats {
     prefills: u32,
     longest: Millis,
 }
 
-/// A reading of this gateway's at a decode runner, from its beginning to its end; also one that fails
-/// or is given up.
+/// A prefill of this gateway at a decode runner, from start to end, even if it fails or is
+/// abandoned.
 #[derive(Debug)]
 pub(crate) struct PrefillTracker {
     knowledge: Arc<Knowledge>,
     runner: RunnerId,
     started: Millis,
-    /// Tokens that the runner reads, this prompt's included.
+    /// Prompt tokens that the runner prefills, including this prompt.
     prompt_tokens: u64,
 }
 
@@ -39,8 +40,8 @@
 }
 
 impl PrefillTracker {
-    /// The prompt of `tokens` is read. What that did to other runs shows with their next events,
-    /// which come within the target for pauses or are late.
+    /// Records that the prompt of `tokens` was prefilled. The delay of other runs shows with their
+    /// next events, which arrive within the pause target `gap_target` or are late.
     pub(crate) fn finish(self, service: &ServiceName, tokens: u64, gap_target: Millis) {
         let took = self.knowledge.now().since(self.started);
         if self.prompt_tokens <= tokens {
@@ -54,7 +55,8 @@
         });
     }
 
-    /// Compares the longest pause that was seen with the one that the whole reading would make.
+    /// Records the longest pause that was observed, with the pause that an uninterrupted prefill
+    /// would cause.
     fn record_longest_pause(&self, service: &ServiceName) {
         let stats = self.knowledge.pauses.lock().get(&self.runner).copied();
         let Some(longest) = stats.map(|stats| stats.longest).filter(|ms| *ms > Millis(0)) else {
@@ -69,14 +71,14 @@
 }
 
 impl Knowledge {
-    /// A stream paused for that long.
+    /// Records a pause in a stream.
     pub(crate) fn record_stream_pause(&self, runner: &RunnerId, pause: Millis) {
         if let Some(stats) = self.pauses.lock().get_mut(runner) {
             stats.longest = stats.longest.max(pause);
         }
     }
 
-    /// A decode runner begins to read a prompt.
+    /// Starts tracking a prefill at a decode runner.
     pub(crate) fn track_prefill(self: &Arc<Self>, runner: &Runner) -> PrefillTracker {
         let prompt_tokens = self.runs.lock().self_prefill_tokens(&runner.id, self.now());
         self.pauses.lock().entry(runner.id.clone()).or_default().prefills += 1;
--- a/crates/bulrushusher_gateway/src/knowledge/pressure.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/pressure.rs
@@ -1,4 +1,4 @@
-//! Back-pressure that runners signalled in their answers, here and at peers.
+//! Back-pressure that runners signalled in their responses to this gateway and its peers.
 
 use bulrushusher_forward::{
     BackPressure, BackPressureCounts, BackPressureError, DrainReport, LimitReport, Runner,
@@ -11,7 +11,8 @@
 use super::Knowledge;
 
 impl Knowledge {
-    /// Takes in what a runner's answer asks for; returns the kinds that it did not ask for before.
+    /// Records the back-pressure signals of a runner's response. Returns the kinds of signals that
+    /// are new.
     pub(crate) fn record_signals(
         &self,
         runner: &Runner,
@@ -48,7 +49,7 @@
         kinds.into_iter().filter(|(_, is_new)| *is_new).map(|(kind, _)| kind).collect()
     }
 
-    /// The runner has said itself that it leaves; returns whether that is new.
+    /// Records that the runner announced its shutdown. Returns whether that is new.
     fn record_own_drain_notice(&self, runner: &Runner) -> bool {
         let report = DrainReport { runner: runner.id.clone(), born: runner.born };
         let is_new =
@@ -59,7 +60,7 @@
         is_new
     }
 
-    /// Takes in of which runners a peer has heard that they leave.
+    /// Merges the runners that a peer reports as draining.
     pub(super) fn merge_drain_reports(&self, peer: &str, reports: &[DrainReport]) {
         for report in reports {
             if self.with_runners(|runners, now| runners.directory.record_drain_notice(report, now))
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Takes in what a peer tells of rate limits.
+    /// Merges the rate limits that a peer reports.
     pub(super) fn merge_limits(&self, peer: &str, reports: &[LimitReport]) {
         let now = self.now();
         let mut pressure = self.pressure.lock();
@@ -84,22 +85,23 @@
         }
     }
 
-    /// What peers are told of rate limits.
+    /// The rate limit reports for the peers.
     pub(super) fn limit_reports(&self) -> Vec<LimitReport> {
         self.pressure.lock().reports(self.now())
     }
 
-    /// What is known of runners' signals, with this gateway's shares of limits as they are now.
+    /// The runners' signals, with this gateway's shares of rate limits updated to `now`.
     pub(super) fn pressure_at(&self, now: Millis) -> MutexGuard<'_, BackPressure> {
         let mut pressure = self.pressure.lock();
         pressure.refresh(now);
         pressure
     }
 
-    /// Whether work that was counted before may still go to a runner.
+    /// Checks whether a request that already has a permit may still be sent to a runner.
     ///
     /// # Errors
-    /// What the runner asked for meanwhile.
+    ///
+    /// The back-pressure that the runner has signalled meanwhile.
     pub(crate) fn check_send(&self, runner: &Runner) -> Result<(), BackPressureError> {
         let is_leaving = self
             .with_runners(|runners, _| runners.directory.has_drain_notice(&runner.id, runner.born));
@@ -109,10 +111,11 @@
         }
     }
 
-    /// Counts requests that are about to be sent to a runner.
+    /// Acquires permits for requests that are about to be sent to a runner.
     ///
     /// # Errors
-    /// What the runner asked for when they may not be sent.
+    ///
+    /// The back-pressure that forbids sending them.
     pub(crate) fn acquire_permits(
         &self,
         runner: &Runner,
@@ -123,27 +126,27 @@
         self.pressure_at(now).acquire(runner, requests, now)
     }
 
-    /// Counts a request that is sent whatever its runner asked for.
+    /// Charges a request that is sent regardless of back-pressure.
     pub(crate) fn charge_permit(&self, runner: &Runner) {
         let now = self.now();
         self.pressure.lock().charge(runner, 1, now);
     }
 
-    /// Requests that were counted are not sent after all.
+    /// Releases the permits of requests that are not sent.
     pub(crate) fn release_permits(&self, runner: &Runner, requests: u32) {
         let now = self.now();
         self.pressure.lock().release(runner, requests, now);
     }
 
-    /// True until the time in the runner's last refusal is over.
+    /// True until the Retry-After time of the runner's last refusal is over.
     pub(crate) fn is_backing_off(&self, runner: &Runner) -> bool {
         self.pressure.lock().check_backoff(runner, self.now()).is_err()
     }
 
-    /// When every runner of the service asked for what keeps this gateway from sending to it: the time
-    /// until the first one may be sent to again. `None` when one is open, or there is none.
+    /// Time until any runner of the service may be sent a request, if back-pressure closes all of
+    /// them. `None` if one is open or the service has no runner.
     ///
-    /// `stage` narrows it to the runners that do that half of a generation.
+    /// `stage` restricts the check to prefill or decode runners.
     pub(crate) fn time_until_any_open(
         &self,
         service: &ServiceName,
@@ -163,13 +166,13 @@
         })
     }
 
-    /// How many runners asked for something.
+    /// Number of runners with each kind of back-pressure.
     pub(crate) fn pressure_counts(&self) -> BackPressureCounts {
         let now = self.now();
         self.pressure.lock().counts(now)
     }
 }
 
-/// When a caller comes back that is refused here while other gateways share the runner's whole limit: its
-/// next attempt reaches another gateway.
+/// Retry-After time of a request that is refused because other gateways use the whole rate limit of
+/// the runner. The next attempt reaches another gateway.
 const OTHER_GATEWAY_RETRY: Millis = Millis(300);
--- a/crates/bulrushusher_gateway/src/knowledge/relayed.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/relayed.rs
@@ -1,4 +1,4 @@
-//! What gateways pass on of the store's changes, and what they hear of it.
+//! Changes of the store that relays forward to the other gateways.
 
 use std::sync::Arc;
 
@@ -12,26 +12,27 @@
 use super::revisions::of_topic;
 use crate::dialect::Topic;
 
-/// Changes that are kept for those who missed some: twice the runners to design for.
+/// Changes that are kept for gateways that missed some: twice the number of runners that the system
+/// is designed for.
 const MAX_CHANGES: usize = 5_400;
 
-/// Changes in one datagram.
+/// Maximum number of changes in one datagram.
 const PAGE_CHANGES: usize = 128;
 
-/// A change of the configuration, as relays tell it.
+/// A change of the configuration, as relays forward it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct RoutingUpdate {
-    /// Revision of the store's change.
+    /// Revision of the change in the store.
     pub revision: u64,
     pub delta: RoutingDelta,
 }
 
-/// What was passed on, and what may be.
+/// Changes to forward, and those received from relays.
 #[derive(Debug)]
 pub(super) struct RelayedChanges {
-    /// The last changes, as far as relays told.
+    /// Revisions of the last changes that relays have reported.
     reported: SeenRevisions,
-    /// The last change of the configuration that this gateway took in.
+    /// The last change of the configuration that this gateway has applied.
     routing: Option<RoutingUpdate>,
     log: ChangeLog,
     pages: DeltaPages,
@@ -49,7 +50,7 @@
 }
 
 impl Knowledge {
-    /// Notes a list of runners, and what it changed.
+    /// Records a list of runners and what it changed.
     pub(crate) fn record_list(&self, revision: u64, last_change: u64, changes: Vec<RunnerChange>) {
         let log = &mut self.relayed.lock().log;
         match era_of(log.revision()) == era_of(revision) && log.revision() > 0 {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Notes what changed between two revisions.
+    /// Records the changes between two revisions.
     pub(crate) fn record_changes(
         &self,
         after: u64,
@@ -69,20 +70,21 @@
         self.relayed.lock().log.record(after, revision, last_change, changes);
     }
 
-    /// The revision that the noted changes lead to.
+    /// The revision that the recorded changes lead to.
     pub(crate) fn recorded_revision(&self) -> u64 {
         self.relayed.lock().log.revision()
     }
 
-    /// What changed since a revision, for a gateway that asks; `None` where that is not remembered.
+    /// The changes since a revision, for a gateway that requests them. `None` if they are no longer
+    /// kept.
     pub(crate) fn delta_since(&self, req: &DeltaRequest) -> Option<RunnerDelta> {
         let outage_age = self.with_runners(|runners, now| runners.directory.outage_age(now));
         let delta = self.relayed.lock().log.since(req, PAGE_CHANGES)?;
         Some(RunnerDelta { outage_age, ..delta })
     }
 
-    /// Notes what the configuration in force changes of the one before, by a change of the store at that
-    /// revision.
+    /// Records the difference between the previous configuration and the one in force, which the
+    /// store changed at `revision`.
     pub(crate) fn record_routing_change(&self, old: Option<&RoutingConfig>, revision: u64) {
         let (Some(old), Some(new)) = (old, self.routing()) else { return };
         if new.version == old.version {
@@ -93,13 +95,13 @@
         self.relayed.lock().routing = delta.map(|delta| RoutingUpdate { revision, delta });
     }
 
-    /// The last change of the configuration, for gateways that listen.
+    /// The last change of the configuration, for gateways that do not watch the store.
     pub(crate) fn last_routing_change(&self) -> Option<RoutingUpdate> {
         self.relayed.lock().routing.clone()
     }
 
-    /// Takes in a relay's change of the configuration. One that changes another configuration than the one
-    /// in force is passed over: the store is asked then.
+    /// Applies a configuration change from a relay. A change to another configuration than the one
+    /// in force is ignored; the configuration is then requested from the store.
     pub(crate) fn apply_routing_update(&self, update: RoutingUpdate) {
         let RoutingUpdate { revision, delta } = update;
         let seen = self.seen_revision(Topic::Configuration);
@@ -122,7 +124,7 @@
         }
     }
 
-    /// Takes in what a relay tells of the last changes.
+    /// Records the revisions that a relay reports.
     pub(crate) fn record_relay_revisions(&self, revisions: SeenRevisions) {
         let mut state = self.relayed.lock();
         let reported = state.reported.max(revisions);
@@ -133,7 +135,7 @@
         }
     }
 
-    /// What a delta is to this gateway; it is for whoever listens only.
+    /// Classifies a page of changes from a relay. Only gateways that do not watch the store use it.
     pub(crate) fn accept_delta_page(&self, page: RunnerDelta) -> PageOutcome {
         if self.relay_view.borrow().role != StoreRole::Listen || !self.has_full_list() {
             return PageOutcome::Known;
@@ -142,7 +144,8 @@
         self.relayed.lock().pages.add(page, seen)
     }
 
-    /// The last change of the runners' list that is known to somebody and not here.
+    /// The last change of the runner list that a relay or another peer has and this gateway has
+    /// not.
     pub(crate) fn missed_runner_change(&self) -> Option<u64> {
         if self.relay_view.borrow().role != StoreRole::Listen || !self.has_full_list() {
             return None;
@@ -151,7 +154,7 @@
         (peer_revision > self.seen_revision(Topic::Runners)).then_some(peer_revision)
     }
 
-    /// Peers that watch and know of a change, or all that watch where none does.
+    /// Relays that have received a change, or all relays if none has.
     pub(crate) fn relays_with(&self, change: u64) -> Vec<Arc<str>> {
         let watching = self.relay_view.borrow().watching.clone();
         let runs = self.runs.lock();
@@ -160,8 +163,9 @@
         if with_change.is_empty() { watching } else { with_change }
     }
 
-    /// The revision that a list must have reached to be of use: of runners, what is known already, as relays
-    /// tell what follows; of the configuration, what anybody has told of.
+    /// The minimum revision of a usable list. For runners it is the revision already received,
+    /// since relays forward the changes after it; for the configuration it is the last one that any
+    /// gateway has reported.
     pub(crate) fn min_list_revision(&self, topic: Topic) -> u64 {
         match topic {
             Topic::Configuration => self.reported_revision(topic),
@@ -169,18 +173,19 @@
         }
     }
 
-    /// True once runners were listed as a whole.
+    /// True once the full list of runners was received.
     pub(crate) fn has_full_list(&self) -> bool {
         self.with_runners(|runners, _| runners.directory.has_full_list())
     }
 
-    /// The last change of a topic that relays or other peers have told of.
+    /// The last change of a topic that relays or other peers have reported.
     pub(crate) fn reported_revision(&self, topic: Topic) -> u64 {
         let peers = self.runs.lock().revisions_seen_by_peers(self.now());
         of_topic(self.relayed.lock().reported.max(peers), topic)
     }
 
-    /// Returns once a later configuration is known to a relay, or for some time to another peer.
+    /// Returns once a relay reports a later configuration, or another peer has had one for a grace
+    /// period.
     pub(crate) async fn wait_for_newer_configuration(&self) -> u64 {
         loop {
             let changed = self.relay_revisions_changed.notified();
--- a/crates/bulrushusher_gateway/src/knowledge/relays.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/relays.rs
@@ -1,4 +1,4 @@
-//! Who watches the store, as this gateway sees it.
+//! Selection of the gateways that watch the store, as seen by this gateway.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 use super::Knowledge;
 use crate::settings::GatewayConfig;
 
-/// Share of the time to be in force after which a silent relay counts no more.
+/// Part of the `configuration_in_force` time after which an unreachable relay is no longer counted.
 const UNREACHABLE_SHARE: f64 = 0.5;
 
-/// How long a gateway that the store has failed leaves watching to others.
+/// Time for which a gateway that lost the store leaves watching to other gateways.
 const LOST_RETENTION: Millis = Millis(5_000);
 
-/// The choice of relays, and what this gateway has with the store.
+/// The relay selection, and this gateway's contact with the store.
 #[derive(Debug)]
 pub(super) struct RelayState {
     relays: Relays,
@@ -41,12 +41,12 @@
 }
 
 impl Knowledge {
-    /// Who watches the store.
+    /// Subscribes to the relay selection.
     pub(crate) fn relay_view(&self) -> watch::Receiver<RelayView> {
         self.relay_view.subscribe()
     }
 
-    /// Looks anew who watches the store.
+    /// Repeats the relay selection.
     pub(crate) fn update_relays(&self) {
         let now = self.now();
         let cfg = relays_cfg(&self.cfg());
@@ -78,7 +78,7 @@
         });
     }
 
-    /// The store answered this gateway, or did not.
+    /// Records whether the store answered this gateway.
     pub(crate) fn record_contact(&self, contact: StoreContact) {
         let role = self.relay_view.borrow().role;
         let contact = match (contact, role) {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// This gateway shuts down: another one is to watch in its place.
+    /// Gives up watching the store at shutdown, so that another gateway takes over.
     pub(crate) fn resign_as_relay(&self) {
         self.shutting_down.store(true, Ordering::Relaxed);
         self.record_contact(StoreContact::Lost);
@@ -105,22 +105,22 @@
         self.shutting_down.load(Ordering::Relaxed)
     }
 
-    /// What peers are told that this gateway has with the store.
+    /// This gateway's contact with the store, for the peers.
     pub(super) fn contact(&self) -> StoreContact {
         self.relays.lock().contact
     }
 
-    /// True when this gateway may carry out duties that one is enough for.
+    /// True if this gateway may run the duties for which one gateway is enough.
     pub(crate) fn runs_shared_duties(&self) -> bool {
         self.relay_view.borrow().runs_shared_duties
     }
 
-    /// True while this gateway passes changes on.
+    /// True while this gateway forwards changes.
     pub(crate) fn forwards_changes(&self) -> bool {
         self.relay_view.borrow().forwards
     }
 
-    /// Those of the `known` gateways to which this one passes changes on.
+    /// Addresses of the `gateways` to which this one forwards changes.
     pub(crate) fn listeners(&self, gateways: &[(Arc<str>, SocketAddr)]) -> Vec<SocketAddr> {
         let watching = self.relay_view.borrow().watching.clone();
         let relays = &self.relays.lock().relays;
--- a/crates/bulrushusher_gateway/src/knowledge/revisions.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/revisions.rs
@@ -1,4 +1,4 @@
-//! What this gateway and its peers know of the store's changes.
+//! Revisions of the store that this gateway and its peers have received.
 
 use bulrushusher_forward::{LongPollConfig, SeenRevisions};
 use bulrushusher_time::Millis;
@@ -7,11 +7,12 @@
 use super::Knowledge;
 use crate::dialect::Topic;
 
-/// How often it is looked whether a peer knows more.
+/// How often the revisions of the peers are checked.
 const CHECK_INTERVAL: Millis = Millis(50);
 
 impl Knowledge {
-    /// The store told a topic up to a revision, with a last change at another.
+    /// Records that changes of a topic are complete up to `revision`, the last of them at
+    /// `last_change`.
     pub(crate) fn record_revisions(&self, topic: Topic, revision: u64, last_change: u64) {
         let mut revisions = self.revisions.lock();
         let state = &mut *revisions;
@@ -30,19 +31,21 @@
         of_topic(self.revisions.lock().seen, topic)
     }
 
-    /// The changes that this gateway knows, for its peers.
+    /// The last changes that this gateway has received, for its peers.
     pub(crate) fn own_revisions(&self) -> SeenRevisions {
         let version = self.routing().map_or(0, |routing| routing.version);
         SeenRevisions { version, ..self.revisions.lock().changes }
     }
 
-    /// The store holds that version of the configuration, be it in force or an older copy.
+    /// Records the version of the configuration that the store holds, whether it is in force or an
+    /// older copy.
     pub(super) fn record_stored_version(&self, version: u64) {
         self.revisions.lock().stored_version = version;
     }
 
-    /// True while the store does not hold the latest configuration that any gateway knows: it came back
-    /// from an older copy, and vouches for nothing until the operator has written again.
+    /// True while the store does not hold the latest configuration that any gateway has received.
+    /// The store was then restored from an older copy, and confirms nothing until an operator has
+    /// written the configuration again.
     pub(super) fn store_is_behind(&self) -> bool {
         let now = self.now();
         let latest =
@@ -50,7 +53,8 @@
         self.revisions.lock().stored_version < latest
     }
 
-    /// The store came back from an older copy, as an answer of a later era shows.
+    /// Records that the store was restored from an older copy, which a response of a later era
+    /// shows.
     pub(crate) fn record_store_restore(&self, topic: Topic) {
         match topic {
             Topic::Configuration => self.restores.send_modify(|times| *times += 1),
@@ -60,21 +64,23 @@
         }
     }
 
-    /// Counts how often the store came back from an older copy, as far as this gateway saw.
+    /// Subscribes to the number of store restores that this gateway has detected.
     pub(crate) fn store_restores(&self) -> watch::Receiver<u64> {
         self.restores.subscribe()
     }
 
-    /// How long to wait for a topic's changes, beside the peers that watch too; alone it would be `alone`.
+    /// Time to wait for changes of a topic in one long poll. It grows with the number of peers that
+    /// also watch the store; `base_wait` is the time for a single gateway.
     pub(crate) fn long_poll_wait(&self, base_wait: Millis) -> Millis {
         let peers = self.relay_view.borrow().watching.len();
         let wait = LongPollConfig::default().wait(base_wait, peers);
-        // Spread, so that gateways that began together are not all answered at the same time.
+        // Random, so that the polls of gateways that started together do not end at the same time.
         let spread = 0.5 + 0.5 * self.draw();
         wait.share(spread).max(base_wait)
     }
 
-    /// Returns once a peer has known for some time of a change that the store did not tell here.
+    /// Returns once a peer has had, for a grace period, a change that the store has not sent to
+    /// this gateway.
     pub(crate) async fn wait_until_behind(&self, topic: Topic) -> u64 {
         let mut behind_since = None;
         loop {
@@ -91,14 +97,14 @@
         }
     }
 
-    /// The last change that a peer knows, if it is not known here.
+    /// The last change that a peer has received, if this gateway has not.
     fn revision_of_peers(&self, topic: Topic) -> Option<u64> {
         let peer_revision = of_topic(self.runs.lock().revisions_seen_by_peers(self.now()), topic);
         (peer_revision > self.seen_revision(topic)).then_some(peer_revision)
     }
 }
 
-/// A topic's part of the news.
+/// The revision of a topic.
 pub(super) fn of_topic(revisions: SeenRevisions, topic: Topic) -> u64 {
     match topic {
         Topic::Configuration => revisions.configuration,
@@ -106,12 +112,12 @@
     }
 }
 
-/// What the store told.
+/// Revisions that this gateway has received from the store or from relays.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RevisionState {
-    /// The last changes.
+    /// Revisions of the last changes.
     changes: SeenRevisions,
-    /// The revisions up to which nothing was missed.
+    /// Revisions up to which no change was missed.
     seen: SeenRevisions,
     /// Version of the configuration that the store held last.
     stored_version: u64,
--- a/crates/bulrushusher_gateway/src/knowledge/starts.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/starts.rs
@@ -1,4 +1,4 @@
-//! Runners that start again under the identity that they had.
+//! Process starts of runners that restart with the same identity.
 
 use bulrushusher_forward::{Runner, RunnerListDiff, StartStatus, StartTime};
 use bulrushusher_time::Millis;
@@ -6,12 +6,12 @@
 
 use super::Knowledge;
 
-/// A start that lies further ahead than this is not a runner's own word: clocks differ by seconds.
-/// Taken as true, it would make every word of the runner's own an earlier one.
+/// Start times further ahead than this are rejected, since clocks differ by seconds only. Accepting
+/// one would make every start that the runner itself reports look earlier.
 const MAX_CLOCK_AHEAD: Millis = Millis(3_600_000);
 
 impl Knowledge {
-    /// Takes in a runner's entry.
+    /// Applies the entry of a runner.
     pub(crate) fn put_runner(&self, runner: Runner) -> StartStatus {
         if self.is_implausible(runner.born) {
             self.forget_runner(&runner.id);
@@ -23,7 +23,7 @@
         status
     }
 
-    /// Takes in a whole list of runners.
+    /// Applies a full list of runners.
     pub(crate) fn replace_runners(&self, mut listed: Vec<Runner>) -> RunnerListDiff {
         let is_bad = |runner: &Runner| self.is_implausible(runner.born);
         let implausible: Vec<RunnerId> =
@@ -41,7 +41,7 @@
         diff
     }
 
-    /// A runner told its start itself, perhaps before its entry does.
+    /// Records the start that a runner reports itself, possibly before its entry does.
     pub(crate) fn record_start(&self, id: &RunnerId, born: Option<StartTime>) -> StartStatus {
         if self.is_implausible(born) {
             return StartStatus::Missing;
@@ -51,8 +51,8 @@
         status
     }
 
-    /// An entry names no runner to use, whatever was known of it. What the runner asked for stays: its entry may
-    /// come back, and a later start owes nothing of it anyway.
+    /// Forgets a runner whose entry is unusable. Its back-pressure signals are kept: the entry may
+    /// come back, and they do not apply to a later start.
     pub(crate) fn forget_runner(&self, id: &RunnerId) {
         self.with_runners(|runners, _| {
             runners.directory.forget(id);
@@ -61,12 +61,12 @@
         self.forget_run_ends(id);
     }
 
-    /// True when a later start of the runner is known: what is held there is gone.
+    /// True if a later start of the runner is known, so that its earlier reservations are gone.
     pub(crate) fn is_superseded(&self, runner: &Runner) -> bool {
         self.with_runners(|runners, _| runners.directory.is_superseded(runner))
     }
 
-    /// Drops what was believed of the start before.
+    /// Discards the state of the previous start.
     fn apply_start(&self, id: &RunnerId, born: Option<StartTime>, status: StartStatus) {
         if born.is_some() && matches!(status, StartStatus::Current | StartStatus::Newer) {
             self.runs.lock().record_start(id, born);
