--- a/crates/bulrushusher_gateway/src/knowledge/relayed.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/relayed.rs
@@ -195,7 +195,7 @@
             }
             tokio::select! {
                 () = changed => {}
-                peer_revision = self.wait_until_behind(Topic::Configuration) => return peer_revision,
+                revision = self.wait_until_behind(Topic::Configuration) => return revision,
             }
         }
     }
--- a/crates/bulrushusher_gateway/src/peers/announcing.rs
+++ b/crates/bulrushusher_gateway/src/peers/announcing.rs
@@ -1,4 +1,5 @@
-//! Announces this gateway in the store, finds the others there, and cleans up after those that are gone.
+//! Announces this gateway in the store, discovers the other gateways there, and removes the
+//! announcements of gateways that are gone.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,41 +13,41 @@
 use crate::knowledge::Knowledge;
 use crate::lifecycle::Lifecycle;
 
-/// Times after start at which the announcements are read, and then every last of these.
+/// Delays between reads of the announcements after the start. The last one repeats.
 const READ_DELAYS: [Millis; 4] = [Millis(0), Millis(1_000), Millis(3_000), Millis(15_000)];
 
-/// Pause after an announcement that failed.
+/// Delay before a failed announcement is retried.
 const ANNOUNCE_RETRY: Millis = Millis(700);
 
-/// A list may be some seconds old: an own announcement that it does not hold is missing only if it was
-/// made longer ago.
+/// Maximum age of a list of announcements. The own announcement counts as missing from a list only
+/// if it is older than this.
 const MAX_LIST_AGE: Millis = Millis(10_000);
 
-/// Longest wait for the store; it answers in milliseconds when it is well.
+/// Timeout of a call to the store. A healthy store answers within milliseconds.
 const STORE_TIMEOUT: Millis = Millis(500);
 
-/// What a gateway writes of itself.
+/// The stored value of an announcement.
 #[derive(Debug, Serialize, Deserialize)]
 struct AnnouncementValue {
     address: SocketAddr,
 }
 
-/// An own announcement that the store has taken.
+/// An announcement of this gateway that the store has accepted.
 #[derive(Clone, Copy, Debug)]
 struct OwnAnnouncement {
     revision: u64,
     at: Millis,
 }
 
-/// Keeps the announcements in the store.
+/// Maintains this gateway's announcement and the directory of gateways.
 #[derive(Debug)]
 pub(crate) struct Announcer<S> {
     store: S,
     knowledge: Arc<Knowledge>,
     lifecycle: Lifecycle,
-    /// Where this gateway hears others.
+    /// Address at which this gateway receives datagrams from its peers.
     address: SocketAddr,
-    /// The gateways that are known.
+    /// Gateways that were discovered.
     pub directory: Mutex<GatewayDirectory>,
     own: Mutex<Option<OwnAnnouncement>>,
 }
@@ -63,21 +64,21 @@
         Announcer { store, knowledge, lifecycle, address, directory, own: Mutex::new(None) }
     }
 
-    /// Announces this gateway again when the store has come back from an older copy.
+    /// Announces this gateway again whenever the store was restored from an older copy.
     pub(crate) async fn keep_announced(&self) {
         let mut restores = self.knowledge.store_restores();
         loop {
             if restores.changed().await.is_err() {
                 return;
             }
-            // Spread, as all gateways learn of it at the same time.
+            // Random, because all gateways detect the restore at the same time.
             let pause = self.knowledge.draw() * ANNOUNCE_RETRY.0 as f64;
             tokio::time::sleep(Millis(pause as u64).duration()).await;
             self.announce().await;
         }
     }
 
-    /// Announces this gateway; tries until it is done.
+    /// Announces this gateway. Retries until it succeeds or the gateway stops.
     pub(crate) async fn announce(&self) {
         let cfg = self.knowledge.cfg();
         let value = match serde_json::to_value(AnnouncementValue { address: self.address }) {
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Takes the announcement back, as this gateway stops.
+    /// Withdraws the announcement when this gateway stops.
     pub(crate) async fn retract(&self) {
         let Some(own) = self.own.lock().take() else { return };
         let name = self.knowledge.cfg().name.to_string();
@@ -106,8 +107,8 @@
         }
     }
 
-    /// Takes over the announcement of this gateway's last start, where that was at the same address. What the
-    /// store keeps of that is some seconds old at most, and a later look finds out if it is gone.
+    /// Reuses the announcement of this gateway's previous start, if its address is the same. The
+    /// list is at most some seconds old, and a later read detects that the announcement is gone.
     fn take_over(&self, listed: &[Announcement]) -> bool {
         let name = self.knowledge.cfg().name.to_string();
         let last = listed.iter().find(|it| it.gateway == name).cloned().and_then(parse);
@@ -118,7 +119,7 @@
         true
     }
 
-    /// All announcements; none while the store does not tell them.
+    /// Reads all announcements. Empty if the store does not answer.
     async fn read_announcements(&self) -> Vec<Announcement> {
         self.store.announced(STORE_TIMEOUT).await.unwrap_or_else(|e| {
             log::info!("peers: announcements could not be read cause=\"{e}\"");
@@ -126,14 +127,15 @@
         })
     }
 
-    /// Waits until the announcements are to be looked at for the `nth` time, and looks. Returns addresses
-    /// at which gateways were not known before.
+    /// Waits for the `nth` read of the announcements, then reads them. Returns the addresses of
+    /// newly discovered gateways.
     pub(crate) async fn read(&self, nth: usize) -> Vec<SocketAddr> {
         let wait = READ_DELAYS[nth.min(READ_DELAYS.len() - 1)];
         tokio::time::sleep(wait.duration()).await;
         let mut announced = self.read_announcements().await;
         if nth == 0 && !self.take_over(&announced) {
-            // Of gateways that start together, one at least finds the other.
+            // Announcing before the second read ensures that of gateways which start together at
+            // least one discovers the other.
             self.announce().await;
             announced = self.read_announcements().await;
         }
@@ -166,7 +168,8 @@
         self.own.lock().is_some_and(|own| now.since(own.at) >= MAX_LIST_AGE)
     }
 
-    /// Removes announcements of gateways that are gone, each only if nobody wrote it anew.
+    /// Removes the announcements of gateways that are gone, unless they were written again
+    /// meanwhile.
     async fn remove_expired(&self) {
         let expired = self.directory.lock().expired_announcements(self.knowledge.now());
         for GatewayAnnouncement { name, revision, .. } in expired {
@@ -182,7 +185,7 @@
     }
 }
 
-/// An announcement, unless another writer left something else there.
+/// Parses an announcement. `None` if another writer has stored something else.
 fn parse(announcement: Announcement) -> Option<GatewayAnnouncement> {
     let Announcement { gateway, value, revision } = announcement;
     match serde_json::from_value::<AnnouncementValue>(value) {
--- a/crates/bulrushusher_gateway/src/peers/mod.rs
+++ b/crates/bulrushusher_gateway/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The other gateways: found, told, heard.
+//! Communication with the other gateways: discovery, reports and forwarded changes of the store.
 
 pub(crate) mod announcing;
 pub(crate) mod relaying;
--- a/crates/bulrushusher_gateway/src/peers/relaying.rs
+++ b/crates/bulrushusher_gateway/src/peers/relaying.rs
@@ -1,4 +1,4 @@
-//! Passes the store's changes on to gateways that do not watch it, and hears them from those that do.
+//! Forwards changes of the store to gateways that do not watch it, and receives them from relays.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -13,31 +13,31 @@
 use crate::peers::report_codec::Message;
 use crate::peers::reporting::PeerMessenger;
 
-/// How often it is looked who watches the store, and what was missed.
+/// How often the relay selection is repeated and missed changes are detected.
 const CHECK_INTERVAL: Millis = Millis(100);
 
-/// How long a change may be known to others before a relay is asked for it: relays tell it themselves, and
-/// a gateway that watches hears of it within such a time.
+/// Delay before a missed change is requested from a relay. Relays forward changes unasked, and a
+/// gateway that watches the store receives them within this time.
 const REQUEST_DELAY: Millis = Millis(250);
 
-/// Time between two questions to relays: an answer comes within some milliseconds.
+/// Time between two requests to relays. A response arrives within some milliseconds.
 const REQUEST_INTERVAL: Millis = Millis(150);
 
-/// Questions without an answer after which the store itself is asked.
+/// Number of unanswered requests after which the store itself is asked.
 const MAX_REQUESTS: u32 = 6;
 
-/// What a relay passes on.
+/// Changes of the store, as a relay forwards them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct StoreChanges {
-    /// The last changes that it knows.
+    /// Revisions of the last changes that the relay has received.
     pub revisions: SeenRevisions,
-    /// What changed in the list of runners.
+    /// Changes of the runner list.
     pub runners: Option<RunnerDelta>,
-    /// What the last change of the configuration was.
+    /// The last change of the configuration.
     pub routing: Option<RoutingUpdate>,
 }
 
-/// A change that others know and this gateway does not.
+/// A change that other gateways have received and this one has not.
 #[derive(Clone, Copy, Debug, Default)]
 struct Backlog {
     since: Option<Millis>,
@@ -46,14 +46,14 @@
 }
 
 impl<S: PlatformStore> PeerMessenger<S> {
-    /// Looks who watches the store, and asks relays for what was missed.
+    /// Repeats the relay selection, and requests missed changes from relays.
     pub(crate) async fn follow_relays(&self, socket: &UdpSocket) {
         let mut backlog = Backlog::default();
         loop {
             tokio::time::sleep(CHECK_INTERVAL.duration()).await;
             self.knowledge.update_relays();
             if !self.knowledge.forwards_changes() {
-                // What came before this gateway is a relay is for others to tell.
+                // Other relays forward the changes from before this gateway became one.
                 self.forwarded_revision
                     .store(self.knowledge.recorded_revision(), Ordering::Relaxed);
             }
@@ -92,7 +92,7 @@
         self.send_message(socket, Message::RequestRunners(req), &[address]).await;
     }
 
-    /// Answers a gateway that missed changes of the list of runners.
+    /// Sends changes of the runner list to a gateway that missed them.
     pub(crate) async fn send_delta(&self, socket: &UdpSocket, req: &DeltaRequest, to: SocketAddr) {
         let revisions = self.knowledge.own_revisions();
         let message = match self.knowledge.delta_since(req) {
@@ -102,7 +102,7 @@
         self.send_message(socket, message, &[to]).await;
     }
 
-    /// Takes in what a relay passes on.
+    /// Applies changes that a relay forwards.
     pub(crate) async fn apply_store_changes(
         &self,
         socket: &UdpSocket,
@@ -125,7 +125,7 @@
         self.knowledge.record_relay_revisions(changes.revisions);
     }
 
-    /// The last change of the configuration, unless it was told before.
+    /// The last change of the configuration, unless it was forwarded before.
     fn unsent_routing_change(&self, forwarded_version: &mut u64) -> Option<RoutingUpdate> {
         let change = self.knowledge.last_routing_change()?;
         let version = change.delta.version;
@@ -133,7 +133,7 @@
         is_new.then_some(change)
     }
 
-    /// Passes each change on, while this gateway is a relay.
+    /// Forwards each change while this gateway is a relay.
     pub(crate) async fn forward_changes(&self, socket: &UdpSocket) {
         let mut forwarded_version = 0;
         loop {
--- a/crates/bulrushusher_gateway/src/peers/report_codec.rs
+++ b/crates/bulrushusher_gateway/src/peers/report_codec.rs
@@ -1,8 +1,8 @@
-//! How gateways write to each other: a version, then a compact binary form.
+//! Encoding of the datagrams between gateways: a version byte, then a compact binary encoding.
 //!
-//! Gateways of two versions may run side by side while a deployment is rolled. What another version
-//! wrote is told apart by its first bytes and passed over; its gateway then counts as one that is not
-//! heard, and comes back with its next version.
+//! During a rolling deployment gateways of two versions run side by side. Datagrams of another
+//! version are recognised by their first bytes and ignored. Their sender then counts as unreachable
+//! until it is upgraded too.
 
 use bulrushusher_forward::{DeltaRequest, GatewayDelta, GatewayReport};
 use bulrushusher_routing::CrashUpdate;
@@ -11,70 +11,72 @@
 
 use crate::peers::relaying::StoreChanges;
 
-/// Marks a datagram as a gateway's.
+/// First byte of every datagram between gateways.
 const MARK: u8 = 0xB5;
 
-/// Raised with each change of the form of [`Datagram`] or of what it holds.
+/// Incremented with each change to the encoding of [`Datagram`] or of its contents.
 const VERSION: u8 = 4;
 
-/// What one gateway writes to another.
+/// A datagram between two gateways.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Datagram {
-    /// Name of the gateway that writes.
+    /// Name of the sender.
     pub from: String,
     pub message: Message,
 }
 
-/// What it says.
+/// Contents of a datagram.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// All that it has at runners.
+    /// The full state of the sender's requests at runners.
     Full(GatewayReport),
-    /// What changed since its report before.
+    /// Changes since the sender's previous report.
     Delta(GatewayDelta),
-    /// It missed a report, and asks for a whole one.
+    /// Requests a full report, after a report was missed.
     RequestFull,
-    /// Requests that crash runners.
+    /// Update on requests that crash runners.
     CrashUpdate(CrashUpdate),
-    /// What it knows beyond the news that it was told.
+    /// What the receiver of a crash update has and its sender lacks.
     CrashReply(CrashUpdate),
-    /// What a relay passes on of the store's changes.
+    /// Changes of the store, forwarded by a relay.
     StoreChanges(StoreChanges),
-    /// It missed changes of the runners' list, and asks a relay for them.
+    /// Requests missed changes of the runner list from a relay.
     RequestRunners(DeltaRequest),
-    /// It does not remember what it was asked for: the store does.
+    /// The requested changes are no longer kept; the store must be asked.
     HistoryGone,
 }
 
-/// Why a datagram cannot be read.
+/// Why a datagram cannot be decoded.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub(crate) enum CodecError {
-    /// It is not a gateway's.
+    /// The datagram was not sent by a gateway.
     #[display("not a gateway datagram; check which program sends to this address")]
     Foreign,
-    /// A gateway of another version wrote it.
+    /// It was encoded by a gateway of another version.
     #[display("unknown datagram version {version}; roll all gateways to the same version")]
     OtherVersion {
-        /// Its version.
+        /// The sender's version.
         version: u8,
     },
-    /// It is cut or changed on its way.
+    /// It was truncated or corrupted.
     #[display("datagram is truncated or corrupt; the next report replaces it")]
     Broken,
 }
 
-/// Writes a datagram.
+/// Encodes a datagram.
 ///
 /// # Errors
-/// [`CodecError::Broken`] when it cannot be written, which no datagram of ours is known for.
+///
+/// [`CodecError::Broken`] if it cannot be encoded, which is not known to happen.
 pub(crate) fn encode(datagram: &Datagram) -> Result<Vec<u8>, CodecError> {
     postcard::to_extend(datagram, vec![MARK, VERSION]).map_err(|_| CodecError::Broken)
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
-/// Why it cannot be read.
+///
+/// The reason why it cannot be decoded.
 pub(crate) fn decode(bytes: &[u8]) -> Result<Datagram, CodecError> {
     match bytes {
         [MARK, VERSION, rest @ ..] => postcard::from_bytes(rest).map_err(|_| CodecError::Broken),
--- a/crates/bulrushusher_gateway/src/peers/reporting.rs
+++ b/crates/bulrushusher_gateway/src/peers/reporting.rs
@@ -1,8 +1,9 @@
-//! Tells the other gateways what this one has at runners, and hears the same of them.
+//! Reports this gateway's requests at runners to the other gateways, and receives their reports.
 //!
-//! What they say are hints, and a runner's own word decides. Most reports tell what changed since the
-//! one before; a whole one follows now and then, and at once to a peer that missed some. Gateways find
-//! each other by their announcements in the store, and whoever is heard of is told too.
+//! Reports are hints; the responses of the runners are authoritative. Most reports are deltas. Full
+//! reports follow periodically, and at once for a peer that missed some. Gateways discover each
+//! other by their announcements in the store, and also report to every gateway that they receive a
+//! datagram from.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,45 +21,47 @@
 use crate::peers::report_codec::{self, Datagram, Message};
 use crate::store::intake::Intake;
 
-/// Least time between two reports: a burst's placements go in a few datagrams.
+/// Minimum time between two reports, so that the placements of a burst share a few datagrams.
 const MIN_REPORT_INTERVAL: Millis = Millis(8);
 
-/// Longest time between two reports, so that peers know that this gateway lives.
+/// Maximum time between two reports, so that peers see that this gateway is live.
 const MAX_REPORT_INTERVAL: Millis = Millis(700);
 
-/// How often a whole report is told: what peers reckon of runs meanwhile is off by some tens of tokens.
+/// Time between two full reports. Meanwhile the peers' estimates of runs are off by some tens of
+/// tokens.
 const FULL_REPORT_INTERVAL: Millis = Millis(1_000);
 
-/// Least time between two whole reports to one peer that asks: several reports may be missed together.
+/// Minimum time between two requested full reports to one peer, which may miss several reports
+/// together.
 const FULL_RESEND_INTERVAL: Millis = Millis(100);
 
-/// Least time between two requests to one peer for a whole report: it comes within some milliseconds, or
-/// the link is so full that asking again makes it worse.
+/// Minimum time between two requests for a full report to one peer. It arrives within some
+/// milliseconds, unless the link is so congested that another request makes it worse.
 const FULL_REQUEST_INTERVAL: Millis = Millis(200);
 
-/// Times that a crash is told. Of three datagrams on a link that loses a tenth, one in a thousand peers
-/// hears none; the store and the peers' answers tell it then.
+/// Number of times that a crash update is sent. With 10 % datagram loss, one in a thousand peers
+/// receives none of three; it then learns of the crash from the store and the replies of peers.
 const CRASH_UPDATE_SENDS: u32 = 3;
 
-/// Time between these: longer than a burst that fills a link for a moment.
+/// Time between these sends: longer than a burst that congests a link for a moment.
 const CRASH_RESEND_INTERVAL: Millis = Millis(300);
 
-/// Largest datagram; a report of some hundred runs.
+/// Maximum datagram size in bytes, for a report with some hundreds of runs.
 const MAX_DATAGRAM: usize = 60_000;
 
-/// The task that speaks with peers.
+/// The task that communicates with the peers.
 #[derive(Debug)]
 pub(crate) struct PeerMessenger<S> {
     pub announcer: Arc<Announcer<S>>,
     pub knowledge: Arc<Knowledge>,
     pub intake: Arc<Intake>,
     pub sent: parking_lot::Mutex<SentReports>,
-    /// Revision up to which this gateway has passed changes of the runners' list on.
+    /// Revision up to which this gateway has forwarded changes of the runner list.
     pub forwarded_revision: AtomicU64,
 }
 
 impl<S: PlatformStore> PeerMessenger<S> {
-    /// Speaks and listens until dropped.
+    /// Sends and receives until dropped.
     pub(crate) async fn run(self, socket: UdpSocket) {
         tokio::join!(
             self.discover(&socket),
@@ -71,7 +74,7 @@
         );
     }
 
-    /// Finds peers by their announcements; each new one is told at once.
+    /// Discovers peers by their announcements, and sends each new one a full report.
     async fn discover(&self, socket: &UdpSocket) {
         for nth in 0.. {
             for address in self.announcer.read(nth).await {
@@ -80,8 +83,8 @@
         }
     }
 
-    /// Tells a peer that is new. It alone: to tell all others too would make starting gateways tell
-    /// each other by the square of their number.
+    /// Sends a full report to a newly discovered peer. It is sent to this peer only: sending it to
+    /// all would make the datagrams between starting gateways grow with the square of their number.
     async fn record_sender(&self, socket: &UdpSocket, name: &str, address: SocketAddr) {
         let now = self.knowledge.now();
         if self.announcer.directory.lock().record_message(name, address, now) {
@@ -143,13 +146,13 @@
         }
     }
 
-    /// True when a peer was not asked for a whole report a moment ago.
+    /// True if no full report was requested from the peer a moment ago.
     fn may_request_full(&self, peer: SocketAddr) -> bool {
         let now = self.knowledge.now();
         claim_interval(&mut self.sent.lock().requested_at, peer, FULL_REQUEST_INTERVAL, now)
     }
 
-    /// Tells a peer that missed a report what was told last.
+    /// Sends the last report in full to a peer that missed it.
     async fn send_full_report(&self, socket: &UdpSocket, to: SocketAddr) {
         let now = self.knowledge.now();
         let report = {
@@ -167,7 +170,7 @@
         let incarnation = self.knowledge.now().0;
         let mut sequence = 0;
         loop {
-            // The first report goes out at once: whoever is found is told it.
+            // The first report is sent at once, so that newly discovered peers can receive it.
             if sequence > 0 {
                 let changed = self.knowledge.report_due.notified();
                 tokio::time::timeout(MAX_REPORT_INTERVAL.duration(), changed).await.ok();
@@ -177,7 +180,8 @@
             let peers = {
                 let directory = self.announcer.directory.lock();
                 match message {
-                    // Whoever was cut off hears of this gateway again by a whole report.
+                    // Full reports also go to gateways that were unreachable, so that they
+                    // reconnect.
                     Message::Full(_) => directory.all_addresses(),
                     _ => directory.active_addresses(self.knowledge.now()),
                 }
@@ -187,7 +191,8 @@
         }
     }
 
-    /// Tells of requests that crash runners, at once and then some times more, as a datagram may be lost.
+    /// Sends updates on requests that crash runners, at once and then repeatedly, since datagrams
+    /// may be lost.
     async fn send_crash_updates(&self, socket: &UdpSocket) {
         let mut update = CrashUpdate::default();
         let mut sends_left = 0;
@@ -211,7 +216,7 @@
         }
     }
 
-    /// What is told of a report: what changed since the last one, or all of it when that is due.
+    /// The message for a report: a delta, or a full report if one is due.
     fn next_message(&self, mut report: GatewayReport) -> Message {
         let now = self.knowledge.now();
         let mut sent = self.sent.lock();
@@ -247,7 +252,7 @@
     }
 }
 
-/// Notes a peer, unless that was done within `gap`.
+/// Records a send to a peer, unless one was recorded within `interval`. Returns whether it did.
 fn claim_interval(
     last_at: &mut BTreeMap<SocketAddr, Millis>,
     peer: SocketAddr,
@@ -261,14 +266,14 @@
     is_over
 }
 
-/// What was told last, and to whom again.
+/// The last report, and what was sent since the last full one.
 #[derive(Debug, Default)]
 pub(crate) struct SentReports {
     report: Option<GatewayReport>,
     full_sent_at: Millis,
-    /// Peers that asked since, and when they were answered.
+    /// Peers that requested a full report since, and when it was sent.
     resent_at: BTreeMap<SocketAddr, Millis>,
-    /// Peers that were asked since.
+    /// Peers that a full report was requested from since, and when.
     requested_at: BTreeMap<SocketAddr, Millis>,
 }
 
--- a/crates/bulrushusher_gateway/src/store/feed.rs
+++ b/crates/bulrushusher_gateway/src/store/feed.rs
@@ -1,8 +1,8 @@
-//! Follows the store: what it holds is listed once, then changes are waited for.
+//! Follows one topic of the store: lists it once, then waits for changes.
 //!
-//! Of many gateways a few watch the store; the others hear of changes from those, and ask the store only
-//! where that fails. A connection that stays silent is replaced. What was learned stays in force while
-//! the store is away, and is never replaced by something older.
+//! Only a few gateways watch the store. The others receive changes from these relays, and ask the
+//! store only if that fails. A connection without answers is replaced. While the store is
+//! unreachable, the received state stays in force, and it is never replaced by an older one.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,27 +17,29 @@
 use crate::knowledge::Knowledge;
 use crate::store::intake::Intake;
 
-/// Share of the time to be in force that one wait for changes lasts where no peers watch too.
+/// Length of one long poll where no peers watch the store, as a part of the
+/// `configuration_in_force` time.
 const WAIT_SHARE: f64 = 0.5;
 
-/// Share of it after which a wait without answer counts as lost; with the share above, and a list
-/// anew, a silent connection costs less than the time to be in force.
+/// Time after which an unanswered request counts as lost, as a part of the same time. Together with
+/// the long poll above and a new list, an unresponsive connection costs less than the whole.
 const SLACK_SHARE: f64 = 0.2;
 
-/// Share of it for which nothing is asked after a change, so that one call brings several: runners
-/// that start or leave together cost a third fewer calls, and no change is known later than that.
+/// Pause after a change, as a part of the same time, so that one call returns several changes.
+/// Runners that start or leave together cost a third fewer calls, and no change is delayed by more
+/// than this.
 const BATCH_SHARE: f64 = 0.05;
 
-/// First and longest pause between calls that fail; a store that is down is asked some times a
-/// second by each gateway that watches it.
+/// First and longest backoff after a failed call. A store that is down receives a few calls per
+/// second from each gateway that watches it.
 const INITIAL_BACKOFF: Millis = Millis(60);
 const MAX_BACKOFF: Millis = Millis(400);
 
-/// Lists that are waited for at the same time. A connection that stays silent is found out soon by
-/// asking again on another one, and a store that is slow for everybody still answers the first.
+/// Maximum number of concurrent list calls. Another call on a new connection soon detects an
+/// unresponsive connection, and a store that is slow for all callers still answers the first call.
 const MAX_CONCURRENT_LISTS: u32 = 8;
 
-/// Keeps a gateway's knowledge up to date with one topic of the store.
+/// Keeps one topic of the store up to date.
 #[derive(Debug)]
 pub(crate) struct Feed<S> {
     pub store: S,
@@ -48,12 +50,12 @@
 }
 
 impl<S: PlatformStore> Feed<S> {
-    /// Follows until dropped.
+    /// Follows the topic until dropped.
     pub(crate) async fn follow(self) {
         let mut backoff = INITIAL_BACKOFF;
         let mut is_lost = false;
         let mut era = None;
-        // What changed since a first list that is some seconds old comes by the watch or the relay after it.
+        // The first list may be some seconds old; the watch or a relay delivers the changes since.
         let mut freshness = Freshness::SecondsOld;
         loop {
             let requested_at = self.knowledge.now();
@@ -70,7 +72,8 @@
                     let is_behind = freshness == Freshness::SecondsOld
                         && revision < self.knowledge.min_list_revision(self.topic);
                     if era_of(revision) < known_era || is_behind {
-                        // It lay on its way since before the store came back, or others know more.
+                        // The answer is from before the restore of the store, or other gateways
+                        // have later changes.
                         log::info!(
                             "store: list is too old topic={} revision={revision}",
                             self.topic
@@ -99,8 +102,8 @@
         }
     }
 
-    /// Lists the topic. While no page comes it is asked again, each time on a connection of its own; the
-    /// first answer counts.
+    /// Lists the topic. While no page arrives, the call is repeated on another connection. The
+    /// first complete answer is used.
     async fn list(&self, freshness: Freshness, is_lost: &mut bool) -> Result<News, StoreFailure> {
         let retry_after = self.slack();
         let timeout = Millis(retry_after.0 * u64::from(MAX_CONCURRENT_LISTS));
@@ -119,7 +122,7 @@
                 {
                     return answer;
                 }
-                // A long list that still comes in is only slowed down by another one beside it.
+                // While pages arrive, another concurrent list would only slow down this one.
                 let now = pages.load(Ordering::Relaxed);
                 if now == pages_before {
                     break;
@@ -130,7 +133,8 @@
         }
     }
 
-    /// Follows the changes after a list, until the topic must be listed again; returns how.
+    /// Follows the changes after a list until the topic must be listed again. Returns how fresh
+    /// that list must be.
     async fn follow_changes(&self) -> Freshness {
         let mut role = self.knowledge.relay_view();
         let mut is_first = true;
@@ -156,14 +160,14 @@
         }
     }
 
-    /// Waits until relays tell of something that only the store can be asked for.
+    /// Waits until relays report a change that must be requested from the store.
     async fn follow_relays(&self) -> Freshness {
         match self.topic {
             Topic::Configuration => {
                 let peer_revision = self.knowledge.wait_for_newer_configuration().await;
                 self.knowledge.revoke_lease();
                 log::info!("store: behind a relay topic={} revision={peer_revision}", self.topic);
-                // Only the latest word of the store renews the lease on keys.
+                // Only the latest state of the store renews the lease on keys.
                 match self.knowledge.has_accounts() {
                     true => Freshness::Latest,
                     false => Freshness::SecondsOld,
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Asks the store once what changed that no relay has told.
+    /// Requests the changes that no relay has forwarded, in one call to the store.
     async fn catch_up(&self) -> Result<(), StoreFailure> {
         let revision = self.knowledge.seen_revision(self.topic);
         let answer = self.store.watch(self.topic, revision, NO_WAIT, self.slack()).await;
@@ -192,14 +196,14 @@
         Ok(())
     }
 
-    /// Waits for changes until that fails. What happened before a gateway began to watch is asked for
-    /// first, unless a list has just told it.
+    /// Watches for changes until a call fails. Unless a list has just been received, the first call
+    /// returns the earlier changes at once.
     async fn watch(&self, is_listed: bool) -> Freshness {
         let base_wait = self.share(WAIT_SHARE);
         if self.topic == Topic::Runners && !is_listed {
             self.knowledge.with_runners(|runners, now| runners.directory.begin_store_polling(now));
         }
-        // After a peer's word the store itself is asked, as often as without peers.
+        // After a peer has reported a later change, the store is polled as often as without peers.
         let mut checks_peers = true;
         let mut first_wait = (!is_listed).then_some(NO_WAIT);
         loop {
@@ -217,7 +221,8 @@
                     }
                     self.count_call("behind");
                     log::info!(
-                        "store: behind a peer topic={} revision={revision} peer_revision={peer_revision}",
+                        "store: behind a peer topic={} revision={revision} \
+                         peer_revision={peer_revision}",
                         self.topic
                     );
                     continue;
@@ -258,8 +263,8 @@
                 self.knowledge.record_contact(StoreContact::Lost);
                 log::info!("store: watch failed topic={} cause=\"{e}\"", self.topic);
                 if matches!(e, StoreFailure::Unreadable { .. }) {
-                    // A list follows at once, and a store that answers both so is not asked
-                    // in a loop without a pause.
+                    // A list follows at once. The delay keeps a store that answers both calls like
+                    // this from being called in a tight loop.
                     self.back_off(&mut INITIAL_BACKOFF.clone()).await;
                 }
             }
@@ -284,13 +289,13 @@
         self.knowledge.record_contact(StoreContact::Lost);
     }
 
-    /// The store answered this gateway.
+    /// Records that the store answered this gateway.
     fn record_watching(&self) {
         self.knowledge.record_contact(StoreContact::Watching);
     }
 
-    /// The store answered a call that let it wait; only the list of runners says whether entries may
-    /// have lapsed.
+    /// Records that the store answered a call with the given wait. Only the feed of runners uses
+    /// it, to decide whether entries may have expired.
     fn record_poll_answer(&self, wait: Millis) {
         if self.topic != Topic::Runners {
             return;
@@ -303,7 +308,7 @@
         }
     }
 
-    /// The store has told all that it knew when it was asked.
+    /// Renews the lease on keys: the store has sent all changes up to the time of the request.
     fn renew_lease(&self, requested_at: Millis) {
         if self.topic == Topic::Configuration {
             self.knowledge.renew_lease(requested_at);
--- a/crates/bulrushusher_gateway/src/store/intake.rs
+++ b/crates/bulrushusher_gateway/src/store/intake.rs
@@ -1,4 +1,4 @@
-//! Takes in what the store holds of runners, whoever told it: the store itself or a relay.
+//! Applies changes of the store, received from the store itself or from a relay.
 
 use std::sync::Arc;
 
@@ -12,10 +12,10 @@
 use crate::knowledge::Knowledge;
 use crate::runners::pool::RunnerPool;
 
-/// Most characters of another writer's text in one line of the log.
+/// Maximum number of characters of another writer's text in one log line.
 const MAX_LOGGED_CHARS: usize = 80;
 
-/// Changes what is believed, and closes connections to runners that are gone.
+/// Applies changes to the shared state, and closes connections to runners that are gone.
 #[derive(Clone, Debug)]
 pub(crate) struct Intake {
     pub knowledge: Arc<Knowledge>,
@@ -24,7 +24,7 @@
 }
 
 impl Intake {
-    /// Takes in a whole list of the store.
+    /// Applies a full list of the store.
     pub(crate) fn apply_list(&self, topic: Topic, update: News) {
         let old = self.knowledge.routing();
         let mut runners = Vec::new();
@@ -52,7 +52,7 @@
         self.record_applied(topic, old.as_deref(), update.revision, update.last_change);
     }
 
-    /// Takes in a page of a first list, so that requests are served before the last one comes.
+    /// Applies a page of the first list, so that requests are served before the last page arrives.
     pub(crate) fn apply_early_page(&self, page: &[Change]) {
         if self.knowledge.has_full_list() {
             return;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Takes in what changed in the store after a revision.
+    /// Applies the changes in the store after a revision.
     pub(crate) fn apply_changes(&self, topic: Topic, after: u64, update: News) {
         let old = self.knowledge.routing();
         let mut recorded = Vec::new();
@@ -87,7 +87,8 @@
         self.record_applied(topic, old.as_deref(), update.revision, update.last_change);
     }
 
-    /// What the store told is in force here: only now peers hear of it, and it can be passed on.
+    /// Records that a change is in force. Only from now on it is reported to peers and can be
+    /// forwarded.
     fn record_applied(
         &self,
         topic: Topic,
@@ -99,7 +100,7 @@
         self.knowledge.record_revisions(topic, revision, last_change);
     }
 
-    /// Takes in what a relay told.
+    /// Applies changes of the runner list from a relay.
     pub(crate) fn apply_delta(&self, delta: RunnerDelta) {
         let RunnerDelta { request, revision, last_change, changes, outage_age, .. } = delta;
         log::info!(
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Puts all entries in place of those that are known. Returns what changed.
+    /// Replaces all runner entries. Returns what changed.
     fn replace_runners(&self, listed: Vec<Runner>) -> Vec<RunnerChange> {
         let mut changes: Vec<RunnerChange> = self.knowledge.with_runners(|runners, _| {
             let changed = listed.iter().filter(|it| !runners.directory.is_listed_as(it)).cloned();
@@ -158,7 +159,8 @@
             }
             StartStatus::Missing => {
                 log::warn!(
-                    "runners: entry passed over id={id} field=born cause=\"start time is too far in the future\""
+                    "runners: entry passed over id={id} field=born \
+                     cause=\"not written by the runner itself\""
                 );
                 self.pool.forget(id);
             }
@@ -171,7 +173,8 @@
         self.forget(std::slice::from_ref(id));
     }
 
-    /// An entry by another writer names no runner to use, also where its name was good before.
+    /// Skips an object that another writer has left. Its runner becomes unusable, even if its
+    /// previous entry was valid.
     fn skip_unreadable(&self, topic: Topic, bad: &Unreadable) -> Option<RunnerChange> {
         let Unreadable { name, field, cause } = bad;
         log::warn!(
@@ -198,7 +201,7 @@
     }
 }
 
-/// Another writer's text as it may stand between quotes in the log.
+/// Replaces control characters and quotes in another writer's text, and truncates it, for the log.
 fn sanitized(text: &str) -> String {
     text.chars()
         .take(MAX_LOGGED_CHARS)
--- a/crates/bulrushusher_gateway/src/store/mod.rs
+++ b/crates/bulrushusher_gateway/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's store: followed, asked, and written to.
+//! Access to the platform's store: watches and lists it, and writes records.
 
 pub(crate) mod feed;
 pub(crate) mod intake;
--- a/crates/bulrushusher_gateway/src/store/orders.rs
+++ b/crates/bulrushusher_gateway/src/store/orders.rs
@@ -1,8 +1,9 @@
-//! Keeps the ratio of prefill and decode runners, by fenced orders.
+//! Maintains the ratio of prefill and decode runners with fenced orders.
 //!
-//! Any gateway may act, and of many the first relay does: who writes the duty's record in the store under a
-//! condition may send the one order that the record names, with the record's new revision as its
-//! fencing token. The record also tells the others which changes are under way.
+//! Any gateway may do so; the first relay does. A gateway that conditionally writes the order
+//! record in the store may send the one order that the record names, with the new revision of the
+//! record as fencing token. The record also tells other gateways which stage changes are in
+//! progress.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,29 +24,30 @@
 use crate::runners::exchange::Exchanger;
 use crate::runners::permit::Permit;
 
-/// How often the ratio is looked at.
+/// How often the ratio is checked.
 const CHECK_INTERVAL: Millis = Millis(500);
 
-/// Longest wait for the store and for a runner. Short against the lease, so that an order never
-/// arrives much later than the write that allowed it.
+/// Timeout of calls to the store and to runners. It is short compared with the lease, so that an
+/// order never arrives much later than the write that permitted it.
 const CALL_TIMEOUT: Millis = Millis(400);
 
-/// An order without effect after this time is lost; a runner may carry one out twelve seconds late.
+/// An order without effect after this time counts as lost. A runner may carry one out 12 s late.
 const ORDER_TIMEOUT: Millis = Millis(15_000);
 
-/// After one order the next ones follow at once: a ratio that is off by two has been off as long.
+/// Further orders follow the first one at once within this time: a ratio that is off by two has
+/// been off for as long.
 const FOLLOW_UP_WINDOW: Millis = Millis(3_000);
 
-/// No order is given while runners come and go: a list that is still filling up looks like a wrong
-/// ratio. Runners write their entries about once in this time.
+/// The number of runners must be stable for this time before an order is sent, since a list that is
+/// still filling up looks like a wrong ratio. Runners write their entries about once in this time.
 const STABLE_COUNT_TIME: Millis = Millis(1_200);
 
-/// What the record in the store holds.
+/// The order record in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct OrderRecord {
     /// The VM that wrote it last.
     holder: String,
-    /// Changes that may be under way.
+    /// Stage changes that may be in progress.
     orders: Vec<PendingOrder>,
 }
 
@@ -53,12 +55,13 @@
 struct PendingOrder {
     runner: String,
     to_decode: bool,
-    /// The start that the order was for: a later one knows nothing of it.
+    /// Process start that the order was for. A later start has not received it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     born: Option<StartTime>,
 }
 
-/// A change that may be under way, at which start, and since when this process knows of it.
+/// A stage change that may be in progress, the process start of its runner, and when this gateway
+/// recorded it.
 #[derive(Clone, Copy, Debug)]
 struct OpenOrder {
     stage: Stage,
@@ -66,7 +69,8 @@
     known_since: Millis,
 }
 
-/// Reads the record. One by another writer names no orders; what is written next replaces it.
+/// Parses the record. A record of another writer counts as empty and is overwritten by the next
+/// write.
 fn read_record(name: &str, value: &serde_json::Value) -> OrderRecord {
     serde_json::from_value(value.clone()).unwrap_or_else(|e| {
         log::warn!("orders: record ignored name={name} cause=\"{e}\"");
@@ -74,21 +78,21 @@
     })
 }
 
-/// What is known of one service's duty.
+/// State of the orders for one service.
 #[derive(Debug)]
 struct OrderState {
     lease: OrderLease,
     open: BTreeMap<RunnerId, OpenOrder>,
     imbalanced_since: Option<Millis>,
-    /// Runners listed, and since when their number is the same.
+    /// Number of listed runners, and since when it has not changed.
     runner_count: (usize, Millis),
-    /// When this process gave its last order.
+    /// When this process sent its last order.
     last_order: Option<Millis>,
-    /// True once a record was read: somebody has given orders before.
+    /// True if the store holds a record, so some gateway has sent orders before.
     has_record: bool,
 }
 
-/// The task that keeps the ratio.
+/// The task that maintains the ratio.
 #[derive(Debug)]
 pub(crate) struct StageKeeper<D, S> {
     pub dialect: D,
@@ -100,7 +104,7 @@
 }
 
 impl<D: Dialect, S: PlatformStore> StageKeeper<D, S> {
-    /// Looks and acts until dropped.
+    /// Checks the ratio and sends orders until dropped.
     pub(crate) async fn run(self) {
         let mut states: BTreeMap<ServiceName, OrderState> = BTreeMap::new();
         let mut restores = self.knowledge.store_restores();
@@ -130,7 +134,8 @@
         }
     }
 
-    /// Another gateway looks, and tells its peers what is under way. Who takes over reads it in the record.
+    /// Clears the orders of this gateway while another one maintains the ratio and reports the
+    /// changes in progress to its peers. A gateway that takes over reads them from the record.
     fn clear_orders(&self, states: &mut BTreeMap<ServiceName, OrderState>) {
         for (service, state) in states {
             state.open.clear();
@@ -181,7 +186,7 @@
         }
     }
 
-    /// The change that is wanted, with what is under way taken into account.
+    /// The stage change that is needed, given the changes in progress.
     fn needed_change(
         &self,
         service: &ServiceName,
@@ -229,7 +234,7 @@
         Ok(())
     }
 
-    /// Takes in the changes that the record names.
+    /// Merges the stage changes that the record names.
     fn merge_record(&self, state: &mut OrderState, record: &OrderRecord) {
         let now = self.knowledge.now();
         for order in &record.orders {
@@ -240,7 +245,8 @@
         }
     }
 
-    /// Asks the runner itself; the list may be late.
+    /// Requests the number of accepted orders from the runner itself, since its entry may be
+    /// outdated.
     async fn accepted_order_count(
         &self,
         state: &mut OrderState,
@@ -251,14 +257,17 @@
         let answer = self.exchanger.side_call(runner, call, Permit::Needed, CALL_TIMEOUT).await;
         let (_, body) = answer.map_err(|e| format!("{} returned no report: {e}", runner.id))?;
         let report = self.dialect.report(&runner.id, &body).map_err(|e| e.to_string())?;
-        // Runners of some platforms tell their start in their entries only. The order names their identity and
-        // the count of orders that they told, so that another start refuses it or has as many.
+        // On some platforms only the entry of a runner contains its start. The order names the
+        // runner and its reported number of accepted orders, so another process start either
+        // rejects it or has accepted as many.
         let born = report.born.or(runner.born);
         match self.knowledge.record_start(&runner.id, born) {
             StartStatus::Current => {}
             StartStatus::Newer => return Err(format!("{} has restarted", runner.id)),
             StartStatus::Stale => return Err(format!("{} reported an earlier start", runner.id)),
-            StartStatus::Missing => return Err(format!("{} did not report its start", runner.id)),
+            StartStatus::Missing => {
+                return Err(format!("{} did not report a valid start", runner.id));
+            }
         }
         if report.busy || report.stage == Some(change.stage) {
             let known_since = self.knowledge.now();
@@ -318,7 +327,7 @@
                 ("accepted", String::new())
             }
             Ok((head, _)) => ("refused", head.status.to_string()),
-            // It may be carried out yet: the note stays until it must have been.
+            // It may still be carried out, so it stays recorded until it must have taken effect.
             Err(e) => ("unanswered", e.to_string()),
         };
         self.metrics.order(result);
@@ -329,7 +338,7 @@
         );
     }
 
-    /// A runner takes no work while it changes.
+    /// Sends a runner no work while it switches stage.
     fn pause_while_switching(&self, runner: &Runner) {
         let Some(engine) = self.knowledge.engine(&runner.service) else { return };
         self.knowledge.with_runners(|runners, now| {
--- a/crates/bulrushusher_gateway/src/store/quarantine.rs
+++ b/crates/bulrushusher_gateway/src/store/quarantine.rs
@@ -1,7 +1,8 @@
-//! Keeps the requests in quarantine in the store, for gateways that start after all others have ended.
+//! Persists the quarantined requests in the store, for gateways that start after all others have
+//! ended.
 //!
-//! Peers tell each other at once; the store is read at start and when a request is first suspected,
-//! as a gateway that its peers do not reach learns of it there.
+//! Peers report entries to each other at once. The store is read at start and when a request is
+//! first suspected, since a gateway that receives no peer reports gets the entries only there.
 
 use std::sync::Arc;
 
@@ -16,13 +17,13 @@
 /// Name of the record in the store.
 const RECORD: &str = "quarantine";
 
-/// Longest wait for the store; it answers in milliseconds when it is well.
+/// Timeout of a call to the store. A healthy store answers within milliseconds.
 const CALL_TIMEOUT: Millis = Millis(500);
 
-/// Pause after a call that failed, or that another gateway's write came before.
+/// Delay before a retry after a failed call or a conflicting write of another gateway.
 const RETRY_DELAY: Millis = Millis(700);
 
-/// What the record holds.
+/// Contents of the record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct QuarantineRecord {
     requests: Vec<Quarantined>,
@@ -48,13 +49,13 @@
             }
             tokio::select! {
                 () = self.knowledge.quarantine_due.notified() => {}
-                // The sender lives as long as this.
+                // Never closed: `self` holds the sender.
                 _ = restores.changed() => self.knowledge.rewrite_quarantined(),
             }
         }
     }
 
-    /// Takes in what the record holds, and adds what this gateway found out.
+    /// Inserts the entries of the record, and adds the ones that this gateway has found.
     async fn sync(&self) -> Result<(), String> {
         let record = self.store.read_record(RECORD, CALL_TIMEOUT).await;
         let record = record.map_err(|e| e.to_string())?;
@@ -76,7 +77,7 @@
         Ok(())
     }
 
-    /// Writes all that is in quarantine; what is over goes out of the record.
+    /// Writes all entries in quarantine. Expired ones are thereby removed from the record.
     async fn write(&self, revision: Option<u64>) -> Result<(), String> {
         let requests = self.knowledge.all_quarantined();
         let count = requests.len();
@@ -94,7 +95,8 @@
     }
 }
 
-/// Reads the record. One by another writer holds nothing; what is written next replaces it.
+/// Parses the record. A record of another writer counts as empty and is overwritten by the next
+/// write.
 fn parse_record(value: serde_json::Value) -> QuarantineRecord {
     serde_json::from_value(value).unwrap_or_else(|e| {
         log::warn!("quarantine: record passed over name={RECORD} cause=\"{e}\"");
--- a/crates/bulrushusher_gateway/src/store/renewing.rs
+++ b/crates/bulrushusher_gateway/src/store/renewing.rs
@@ -1,7 +1,7 @@
-//! Renews the lease on the configuration: asks the store whether it is still in force.
+//! Renews the lease on the configuration by asking the store whether it is still in force.
 //!
-//! A wait for changes says nothing until it ends, and waits are long where many gateways follow the store.
-//! So the store is asked in between, by a call that does not wait.
+//! A long poll confirms nothing until it ends, and polls are long where many gateways follow the
+//! store. Calls without a wait therefore renew the lease in between.
 
 use std::sync::Arc;
 
@@ -13,13 +13,14 @@
 use crate::knowledge::Knowledge;
 use crate::store::intake::Intake;
 
-/// Longest wait for an answer; it comes within milliseconds when the store is well.
+/// Timeout of a call. A healthy store answers within milliseconds.
 const CALL_TIMEOUT: Millis = Millis(400);
 
-/// Pause after a call that failed, half of it random: some tries fit into what is left of a lease.
+/// Delay after a failed call, half of it random, so that several retries fit into the remaining
+/// lease.
 const RETRY_DELAY: Millis = Millis(250);
 
-/// Least time between two calls, however many callers bring keys that are not known.
+/// Minimum time between two calls, regardless of how many callers present unknown keys.
 const MIN_CALL_INTERVAL: Millis = Millis(100);
 
 /// The task that renews the lease.
@@ -32,7 +33,7 @@
 }
 
 impl<S: PlatformStore> LeaseKeeper<S> {
-    /// Renews until dropped.
+    /// Renews the lease until dropped.
     pub(crate) async fn run(self) {
         let mut is_failing = false;
         loop {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Waits until the lease is to be renewed, or somebody brings a key that is not known here.
+    /// Waits until the lease must be renewed, or a caller presents an unknown key.
     async fn wait_until_due(&self) {
         loop {
             let due = self.knowledge.lease_due.notified();
@@ -77,7 +78,7 @@
         let (requested_at, topic) = (self.knowledge.now(), Topic::Configuration);
         let after = self.knowledge.seen_revision(topic);
         let answer = match self.store.watch(topic, after, NO_WAIT, CALL_TIMEOUT).await {
-            // Nobody has asked for longer than the store remembers.
+            // The last call is longer ago than the store keeps its history.
             Err(StoreFailure::HistoryGone) => self.list().await,
             answer => answer,
         };
@@ -89,8 +90,8 @@
         Ok(())
     }
 
-    /// Asks for the configuration as it is. A store that came back from an older copy is for the feed to
-    /// take in, which hears of it here.
+    /// Requests the current configuration. A restore of the store is handled by the feed, which is
+    /// notified here.
     async fn list(&self) -> Result<News, StoreFailure> {
         let (topic, freshness) = (Topic::Configuration, Freshness::Latest);
         let update = self.store.list(topic, freshness, CALL_TIMEOUT, &|_: &[Change]| ()).await?;
