--- a/crates/bulrushusher_gateway/src/peers/announcing.rs
+++ b/crates/bulrushusher_gateway/src/peers/announcing.rs
@@ -19,8 +19,8 @@
 /// Delay before a failed announcement is retried.
 const ANNOUNCE_RETRY: Millis = Millis(700);
 
-/// Maximum age of a list of announcements. The own announcement counts as missing from a list only
-/// if it is older than this.
+/// Maximum age of a list of announcements. The own announcement counts as missing only
+/// if it was written longer ago than this.
 const MAX_LIST_AGE: Millis = Millis(10_000);
 
 /// Timeout of a call to the store. A healthy store answers within milliseconds.
