--- a/crates/bulrushusher_gateway/src/knowledge/relayed.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/relayed.rs
@@ -119,7 +119,7 @@
             }
             Ok(None) => {}
             Err(e) => {
-                log::error!("configuration: a relay's update cannot be applied cause=\"{e}\"")
+                log::error!("configuration: a relay's update cannot be applied cause=\"{e}\"");
             }
         }
     }
--- a/crates/bulrushusher_gateway/src/peers/announcing.rs
+++ b/crates/bulrushusher_gateway/src/peers/announcing.rs
@@ -175,10 +175,10 @@
         for GatewayAnnouncement { name, revision, .. } in expired {
             match self.store.retract(&name, revision, STORE_TIMEOUT).await {
                 Ok(done) => {
-                    log::info!("peers: expired announcement removed name={name} done={done}")
+                    log::info!("peers: expired announcement removed name={name} done={done}");
                 }
                 Err(e) => {
-                    log::info!("peers: expired announcement not removed name={name} cause=\"{e}\"")
+                    log::info!("peers: expired announcement not removed name={name} cause=\"{e}\"");
                 }
             }
         }
