--- a/crates/bulrushusher_gateway/src/callers/front.rs
+++ b/crates/bulrushusher_gateway/src/callers/front.rs
@@ -236,7 +236,7 @@
             RouteKind::Stream { .. } => self
                 .router
                 .knowledge
-                .with_pace(&fwd.service, |pace| pace.generation_time_upper_bound()),
+                .with_timing(&fwd.service, |pace| pace.generation_time_upper_bound()),
             RouteKind::Idempotent | RouteKind::NonIdempotent => fwd.route.target,
         };
         if stop.can_finish(self.router.now(), expected) {
--- a/crates/bulrushusher_gateway/src/gateway.rs
+++ b/crates/bulrushusher_gateway/src/gateway.rs
@@ -17,7 +17,7 @@
 use crate::knowledge::Knowledge;
 use crate::lifecycle::Lifecycle;
 use crate::peers::announcing::Announcer;
-use crate::peers::speaking::Peers;
+use crate::peers::reporting::PeerMessenger;
 use crate::probes::{self, Probe};
 use crate::runners::exchange::Exchanger;
 use crate::runners::pool::RunnerPool;
@@ -71,9 +71,9 @@
     components.spawn_feeds(&store, &mut tasks);
     let announcer = components.announcer(&store, cfg.peers);
     components.spawn_peers(&cfg, announcer.clone(), &mut tasks).await?;
-    tasks.spawn(components.lease_keeper(&store).keep());
-    tasks.spawn(components.quarantine_keeper(&store).keep());
-    tasks.spawn(components.stage_keeper(store).keep());
+    tasks.spawn(components.lease_keeper(&store).run());
+    tasks.spawn(components.quarantine_keeper(&store).run());
+    tasks.spawn(components.stage_keeper(store).run());
     let server = Arc::new(Server::new(components.front.clone(), clock));
     let sweeper = server.clone();
     tasks.spawn(async move { sweeper.sweep().await });
@@ -83,7 +83,7 @@
     wait_for_stop_signal(&components.knowledge, read_settings).await?;
     let stop =
         components.lifecycle.stop(components.knowledge.cfg().shutdown, components.knowledge.now());
-    components.knowledge.leave_relays();
+    components.knowledge.resign_as_relay();
     log::info!("gateway: stopping connections={}", server.connections());
     tasks.spawn(async move { announcer.retract().await });
     drain(&components.knowledge, &server, stop, || accepting.abort()).await;
@@ -164,9 +164,9 @@
     ) -> io::Result<()> {
         let socket = UdpSocket::bind(cfg.peers).await?;
         let (knowledge, intake) = (self.knowledge.clone(), self.intake.clone());
-        let (last_told, told_store) = Default::default();
-        let peers = Peers { announcer, knowledge, intake, last_told, told_store };
-        tasks.spawn(peers.speak(socket));
+        let (sent, forwarded_revision) = Default::default();
+        let peers = PeerMessenger { announcer, knowledge, intake, sent, forwarded_revision };
+        tasks.spawn(peers.run(socket));
         Ok(())
     }
 
--- a/crates/bulrushusher_gateway/src/knowledge/mod.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/mod.rs
@@ -1,8 +1,9 @@
-//! What the gateway believes: configuration, runners, loads, budgets, paces.
+//! Shared state of the gateway: configuration, runners, their load, retry budgets and timing
+//! models.
 //!
-//! Lock order, where two are taken at once: runners, then budgets, then lines, then paces, then
-//! runs, then relays, then passed, then health, then pauses, then news, then changing, then crashes, then pressure, then
-//! quotas, then lease. No lock is held across an await.
+//! Lock order where two locks are held at once: `runners`, `retry_budgets`, `queues`, `timings`,
+//! `runs`, `relays`, `relayed`, `health`, `pauses`, `revisions`, `switching`, `crashes`,
+//! `pressure`, `quotas`, `lease`. No lock is held across an await point.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -32,76 +33,76 @@
 mod health;
 mod memory;
 mod moves;
-mod news;
-mod passing_on;
 mod pauses;
 mod pressure;
+mod relayed;
 mod relays;
+mod revisions;
 mod starts;
 
-pub(crate) use moves::RunFate;
-pub(crate) use passing_on::ToldRouting;
+pub(crate) use moves::MoveDecision;
+pub(crate) use relayed::RoutingUpdate;
 
-/// Fewest parts that the shared burst of repeats is split into. A gateway that starts again has a
-/// full part, and one that hears no peer does not know how many there are.
-const LEAST_RETRY_SHARERS: usize = 10;
+/// Minimum number of parts that the shared retry burst is split into. A gateway that restarts has a
+/// full part, and a gateway that receives no peer reports does not know the number of gateways.
+const MIN_RETRY_SHARERS: usize = 10;
 
-/// Runners and what this gateway has there.
+/// The runner directory, and the load that this gateway has placed on each runner.
 #[derive(Debug)]
 pub(crate) struct Runners {
-    pub members: RunnerDirectory,
+    pub directory: RunnerDirectory,
     pub loads: RunnerLoads,
 }
 
-/// Everything that is believed.
+/// The state that the tasks of a gateway share.
 #[derive(Debug)]
 pub(crate) struct Knowledge {
     pub clock: Clock,
     cfg: ArcSwap<GatewayConfig>,
     routing: ArcSwapOption<RoutingConfig>,
     runners: Mutex<Runners>,
-    budgets: Mutex<HashMap<ServiceName, RetryBudget>>,
-    lines: Mutex<HashMap<ServiceName, WaitQueue>>,
-    paces: Mutex<HashMap<ServiceName, TimingModel>>,
+    retry_budgets: Mutex<HashMap<ServiceName, RetryBudget>>,
+    queues: Mutex<HashMap<ServiceName, WaitQueue>>,
+    timings: Mutex<HashMap<ServiceName, TimingModel>>,
     patience: Mutex<TypicalPatience>,
     runs: Mutex<Runs>,
     health: Mutex<RunnerHealth>,
-    /// Pauses in this gateway's streams, by runner that reads a prompt.
-    pauses: Mutex<HashMap<RunnerId, pauses::SeenPauses>>,
-    /// What the store told of its changes.
-    news: Mutex<news::KnownNews>,
-    /// Runners whose stage changes, by service.
-    changing: Mutex<HashMap<ServiceName, Vec<RunnerId>>>,
+    /// Pauses in this gateway's streams, by decode runner that is prefilling a prompt.
+    pauses: Mutex<HashMap<RunnerId, pauses::PauseStats>>,
+    /// Revisions of the store that this gateway has received.
+    revisions: Mutex<revisions::RevisionState>,
+    /// Runners that are switching stage, by service.
+    switching: Mutex<HashMap<ServiceName, Vec<RunnerId>>>,
     /// Requests that crash runners.
-    crashes: Mutex<crashes::KnownCrashes>,
-    /// What runners asked for in their answers.
+    crashes: Mutex<crashes::CrashState>,
+    /// Back-pressure that runners signalled in their responses.
     pressure: Mutex<BackPressure>,
-    /// What client accounts use of their quotas.
+    /// Quota usage of client accounts.
     quotas: Mutex<QuotaLimiter>,
-    /// How long keys may be acted on without new word of the store.
+    /// How long API keys may be accepted without confirmation by the store.
     lease: Mutex<ConfigLease>,
-    /// Who watches the store.
+    /// Selection of the gateways that watch the store.
     relays: Mutex<relays::RelayState>,
-    /// What is passed on of the store's changes.
-    passed: Mutex<passing_on::PassedOn>,
+    /// Changes of the store that relays forward.
+    relayed: Mutex<relayed::RelayedChanges>,
     relay_view: watch::Sender<RelayView>,
-    /// True once this gateway shuts down.
-    leaving: AtomicBool,
-    /// Raised each time that the store was seen to have come back from an older copy.
-    restored: watch::Sender<u64>,
-    /// Notified when a caller brings a key that cannot be checked.
+    /// True once this gateway is shutting down.
+    shutting_down: AtomicBool,
+    /// Number of times that the store was restored from an older copy.
+    restores: watch::Sender<u64>,
+    /// Notified when a caller presents a key that cannot be checked.
     pub lease_due: Notify,
-    /// Notified when peers should hear of something new.
+    /// Notified when a report to the peers is due.
     pub report_due: Notify,
-    /// Notified when peers should hear of a request that crashes runners.
-    pub crashes_due: Notify,
-    /// Notified when gateways that listen should hear of changes of the store.
-    pub tell_due: Notify,
-    /// Notified when a relay has told of changes.
-    store_news_heard: Notify,
-    /// Notified when the store itself must be asked what changed of runners.
-    pub store_due: Notify,
-    /// Notified when the store should be looked at for such requests, or told of one.
+    /// Notified when the peers must receive an update on requests that crash runners.
+    pub crash_update_due: Notify,
+    /// Notified when a relay has changes of the store to forward.
+    pub forward_due: Notify,
+    /// Notified when a relay has reported newer revisions.
+    relay_revisions_changed: Notify,
+    /// Notified when the changes of the runner list must be requested from the store itself.
+    pub store_poll_due: Notify,
+    /// Notified when the quarantine record in the store must be read or written.
     pub quarantine_due: Notify,
     draws: Mutex<ChaCha8Rng>,
 }
@@ -114,7 +115,7 @@
         let relays = relays::RelayState::new(&cfg);
         let pressure = BackPressure::new(BackPressureConfig::default(), name);
         let runners = Runners {
-            members: RunnerDirectory::new(cfg.members),
+            directory: RunnerDirectory::new(cfg.members),
             loads: RunnerLoads::new(cfg.loads),
         };
         Knowledge {
@@ -122,30 +123,30 @@
             cfg: ArcSwap::from_pointee(cfg),
             routing: ArcSwapOption::empty(),
             runners: Mutex::new(runners),
-            budgets: Mutex::default(),
-            lines: Mutex::default(),
-            paces: Mutex::default(),
+            retry_budgets: Mutex::default(),
+            queues: Mutex::default(),
+            timings: Mutex::default(),
             patience: Mutex::default(),
             runs: Mutex::new(Runs::new(PeersConfig::default())),
             health: Mutex::new(RunnerHealth::new(HealthConfig::default())),
             pauses: Mutex::default(),
-            news: Mutex::default(),
-            changing: Mutex::default(),
-            crashes: Mutex::new(crashes::KnownCrashes::new(quarantine)),
+            revisions: Mutex::default(),
+            switching: Mutex::default(),
+            crashes: Mutex::new(crashes::CrashState::new(quarantine)),
             pressure: Mutex::new(pressure),
             quotas: Mutex::new(quotas),
             lease: Mutex::default(),
             relays: Mutex::new(relays),
-            passed: Mutex::default(),
+            relayed: Mutex::default(),
             relay_view: watch::Sender::default(),
-            leaving: AtomicBool::new(false),
-            tell_due: Notify::new(),
-            store_news_heard: Notify::new(),
-            store_due: Notify::new(),
-            restored: watch::Sender::new(0),
+            shutting_down: AtomicBool::new(false),
+            forward_due: Notify::new(),
+            relay_revisions_changed: Notify::new(),
+            store_poll_due: Notify::new(),
+            restores: watch::Sender::new(0),
             lease_due: Notify::new(),
             report_due: Notify::new(),
-            crashes_due: Notify::new(),
+            crash_update_due: Notify::new(),
             quarantine_due: Notify::new(),
             draws: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
         }
@@ -164,10 +165,10 @@
         self.cfg.load_full()
     }
 
-    /// Takes other settings; what waits keeps its place.
+    /// Applies new settings. Queued requests keep their rank.
     pub(crate) fn reconfigure(&self, cfg: GatewayConfig) {
-        for line in self.lines.lock().values_mut() {
-            line.reconfigure(cfg.waiting);
+        for queue in self.queues.lock().values_mut() {
+            queue.reconfigure(cfg.waiting);
         }
         self.crashes.lock().quarantine.reconfigure(cfg.quarantine);
         self.quotas.lock().set_config(cfg.quotas);
@@ -179,14 +180,14 @@
         self.routing.load_full()
     }
 
-    /// The engine of a service, where it serves models.
+    /// The engine of a service, if the service runs models.
     pub(crate) fn engine(&self, service: &ServiceName) -> Option<EngineSpec> {
         self.routing()?.service(service)?.engine
     }
 
-    /// Puts a configuration in force unless one at least as high is.
-    pub(crate) fn take_routing(&self, routing: RoutingConfig) {
-        self.note_stored_version(routing.version);
+    /// Puts a configuration in force unless one of the same or a later version already is.
+    pub(crate) fn apply_routing(&self, routing: RoutingConfig) {
+        self.record_stored_version(routing.version);
         if self.routing().is_some_and(|old| routing.version <= old.version) {
             return;
         }
@@ -194,7 +195,7 @@
         let accounts = routing.accounts().map(AccountTable::len);
         self.set_quotas(&routing);
         self.routing.store(Some(Arc::new(routing)));
-        // Whoever renews the lease waits while no request needs a key.
+        // The lease keeper sleeps while no request needs a key.
         self.lease_due.notify_one();
         log::info!(
             "configuration: in force version={version} routes={routes} accounts={}",
@@ -202,14 +203,14 @@
         );
     }
 
-    /// True once requests can be served: a configuration is in force, and some runners are known.
+    /// True once requests can be served: a configuration is in force and some runners are known.
     pub(crate) fn can_serve(&self) -> bool {
-        self.routing.load().is_some() && self.runners.lock().members.has_entries()
+        self.routing.load().is_some() && self.runners.lock().directory.has_entries()
     }
 
-    /// True once all runners are known too.
+    /// True once a configuration is in force and the full list of runners is known.
     pub(crate) fn is_complete(&self) -> bool {
-        self.routing.load().is_some() && self.runners.lock().members.has_full_list()
+        self.routing.load().is_some() && self.runners.lock().directory.has_full_list()
     }
 
     pub(crate) fn with_runners<T>(&self, f: impl FnOnce(&mut Runners, Millis) -> T) -> T {
@@ -217,7 +218,7 @@
         f(&mut self.runners.lock(), now)
     }
 
-    /// A runner for a plain call.
+    /// Selects a runner for a plain call.
     pub(crate) fn pick_for_call(
         &self,
         service: &ServiceName,
@@ -233,7 +234,7 @@
         })
     }
 
-    /// A runner that reads a prompt.
+    /// Selects a runner to prefill a prompt.
     pub(crate) fn pick_for_prefill(
         &self,
         service: &ServiceName,
@@ -241,14 +242,14 @@
         near: &DataCentreName,
     ) -> Option<Runner> {
         let draw = self.draw();
-        self.with_pool(service, |cx, runs| {
-            let elsewhere = |id: &RunnerId| runs.prefill_tokens_of_peers(id, cx.now);
-            pick_for_prefill(cx, near, tried, draw, elsewhere)
+        self.with_candidates(service, |cx, runs| {
+            let peer_tokens = |id: &RunnerId| runs.prefill_tokens_of_peers(id, cx.now);
+            pick_for_prefill(cx, near, tried, draw, peer_tokens)
         })
     }
 
-    /// Chooses among a service's model runners, with what peers tell of them.
-    fn with_pool<T>(
+    /// Selects among the model runners of a service, with the runs and failures that peers report.
+    fn with_candidates<T>(
         &self,
         service: &ServiceName,
         choose: impl FnOnce(SelectionContext<'_>, &Runs) -> T,
@@ -268,30 +269,30 @@
         })
     }
 
-    /// True when the service's runners each do one half of a generation.
+    /// True if the runners of the service are split into prefill and decode runners.
     pub(crate) fn is_split(&self, service: &ServiceName) -> bool {
         self.with_runners(|runners, now| {
-            runners.members.usable(service, now).any(|runner| runner.stage.is_some())
+            runners.directory.usable(service, now).any(|runner| runner.stage.is_some())
         })
     }
 
-    /// True while this start of the runner may get new work.
-    pub(crate) fn takes_work(&self, runner: &Runner) -> bool {
+    /// True while this process start of the runner may receive new work.
+    pub(crate) fn accepts_work(&self, runner: &Runner) -> bool {
         self.with_runners(|runners, now| {
-            let known = runners.members.get(&runner.id, now);
-            known.is_some_and(|known| !known.leaving && !runners.members.is_superseded(runner))
+            let entry = runners.directory.get(&runner.id, now);
+            entry.is_some_and(|entry| !entry.leaving && !runners.directory.is_superseded(runner))
         })
     }
 
-    /// The runner gets no work for that long.
-    pub(crate) fn pause(&self, runner: &RunnerId, length: Millis) {
+    /// Sends the runner no work for `length`.
+    pub(crate) fn pause_runner(&self, runner: &RunnerId, length: Millis) {
         self.with_runners(|runners, now| runners.loads.pause(runner, now.plus(length)));
     }
 
-    /// Takes in how a call to a runner went. What an earlier start did says nothing of this one.
-    pub(crate) fn note_call(&self, runner: &Runner, result: CallResult) {
+    /// Records the result of a call to a runner. A result of an earlier process start is ignored.
+    pub(crate) fn record_call(&self, runner: &Runner, result: CallResult) {
         self.with_runners(|runners, now| {
-            if !runners.members.is_superseded(runner) {
+            if !runners.directory.is_superseded(runner) {
                 runners.loads.record(&runner.id, result, now);
             }
         });
@@ -300,12 +301,12 @@
         }
     }
 
-    /// A request for the service came.
+    /// Credits the retry budget of the service for a new request.
     pub(crate) fn earn_retry(&self, service: &ServiceName) {
         self.with_budget(service, RetryBudget::earn);
     }
 
-    /// What may follow an attempt.
+    /// Decides what follows an attempt.
     pub(crate) fn next_step(
         &self,
         service: &ServiceName,
@@ -315,8 +316,8 @@
         self.with_budget(service, |budget| plan.next_step(end, budget))
     }
 
-    /// Gives a late attempt up if another runner than those `tried` would take the call well and the budget
-    /// of repeats allows it; returns whether it did.
+    /// Abandons a late attempt if a runner outside `tried` accepts calls and the retry budget
+    /// allows another attempt. Returns whether it did.
     pub(crate) fn abandon_late(
         &self,
         service: &ServiceName,
@@ -325,28 +326,28 @@
     ) -> bool {
         let near = self.cfg().data_centre.clone();
         let other = self.pick_for_call(service, tried, &near);
-        let takes_calls =
+        let accepts_calls =
             |id: &RunnerId| self.with_runners(|it, now| it.loads.accepts_calls(id, now));
-        other.is_some_and(|other| takes_calls(&other.id))
+        other.is_some_and(|other| accepts_calls(&other.id))
             && self.with_budget(service, |budget| plan.abandon(budget))
     }
 
-    /// Takes one repeat from the budget; false when none is left.
+    /// Takes one retry from the budget. Returns false if none is left.
     pub(crate) fn take_retry(&self, service: &ServiceName) -> bool {
         self.with_budget(service, RetryBudget::take)
     }
 
     fn with_budget<T>(&self, service: &ServiceName, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let gateways = self.runs.lock().peer_count(self.now()) + 1;
-        let cfg = self.cfg.load().retries.split(gateways.max(LEAST_RETRY_SHARERS));
-        let mut budgets = self.budgets.lock();
+        let cfg = self.cfg.load().retries.split(gateways.max(MIN_RETRY_SHARERS));
+        let mut budgets = self.retry_budgets.lock();
         let budget = budgets.entry(service.clone()).or_insert_with(|| RetryBudget::new(cfg));
         budget.reconfigure(cfg);
         f(budget)
     }
 
-    /// Joins the line of a service.
-    pub(crate) fn join_line(
+    /// Adds a request to the queue of a service.
+    pub(crate) fn join_queue(
         &self,
         service: &ServiceName,
         late: bool,
@@ -354,57 +355,59 @@
         claim: AccountCost<'_>,
     ) -> QueueRank {
         let now = self.now();
-        self.change_line(service, |line| line.join(late, priority, claim, now))
+        self.update_queue(service, |queue| queue.join(late, priority, claim, now))
     }
 
-    /// Leaves the line of a service.
-    pub(crate) fn leave_line(&self, service: &ServiceName, rank: &QueueRank) {
-        self.change_line(service, |line| line.leave(rank));
+    /// Removes a request from the queue of a service.
+    pub(crate) fn leave_queue(&self, service: &ServiceName, rank: &QueueRank) {
+        self.update_queue(service, |queue| queue.leave(rank));
     }
 
-    /// Changes a line, and lets peers know when it begins or ceases to wait: they take turns with
-    /// those that do.
-    fn change_line<T>(&self, service: &ServiceName, f: impl FnOnce(&mut WaitQueue) -> T) -> T {
-        let kinds = |line: &WaitQueue| (line.on_time() > 0, line.len() > line.on_time());
-        let (done, changed) = self.with_line(service, |line| {
-            let before = kinds(line);
-            let done = f(line);
-            (done, before != kinds(line))
+    /// Updates a queue. Reports to the peers when its on-time or its late part becomes empty or
+    /// non-empty, since gateways with queued requests take turns.
+    fn update_queue<T>(&self, service: &ServiceName, f: impl FnOnce(&mut WaitQueue) -> T) -> T {
+        let non_empty = |queue: &WaitQueue| (queue.on_time() > 0, queue.len() > queue.on_time());
+        let (result, changed) = self.with_queue(service, |queue| {
+            let before = non_empty(queue);
+            let result = f(queue);
+            (result, before != non_empty(queue))
         });
         if changed {
             self.report_due.notify_one();
         }
-        done
+        result
     }
 
-    pub(crate) fn with_line<T>(
+    pub(crate) fn with_queue<T>(
         &self,
         service: &ServiceName,
         f: impl FnOnce(&mut WaitQueue) -> T,
     ) -> T {
-        let mut lines = self.lines.lock();
+        let mut queues = self.queues.lock();
         let cfg = self.cfg.load().waiting;
-        f(lines.entry(service.clone()).or_insert_with(|| WaitQueue::new(cfg)))
+        f(queues.entry(service.clone()).or_insert_with(|| WaitQueue::new(cfg)))
     }
 
-    pub(crate) fn with_pace<T>(
+    pub(crate) fn with_timing<T>(
         &self,
         service: &ServiceName,
         f: impl FnOnce(&mut TimingModel) -> T,
     ) -> T {
-        let mut paces = self.paces.lock();
-        f(paces.entry(service.clone()).or_insert_with(|| TimingModel::new(TimingConfig::default())))
+        let mut timings = self.timings.lock();
+        f(timings
+            .entry(service.clone())
+            .or_insert_with(|| TimingModel::new(TimingConfig::default())))
     }
 
-    /// Time since the caller's first attempt, as far as its patience tells.
+    /// Time since the caller's first attempt, estimated from its patience.
     pub(crate) fn elapsed_before(&self, route: &Route, patience: Millis) -> Millis {
         let returns = self.cfg.load().retry_after_config();
         self.patience.lock().elapsed(&route.name, patience, &returns)
     }
 
-    /// Requests that wait for memory, over all services.
-    pub(crate) fn waiting(&self) -> usize {
-        self.lines.lock().values().map(WaitQueue::len).sum()
+    /// Number of requests that are queued for memory, over all services.
+    pub(crate) fn queued_requests(&self) -> usize {
+        self.queues.lock().values().map(WaitQueue::len).sum()
     }
 }
 
@@ -416,7 +419,7 @@
         now: Millis,
     ) -> SelectionContext<'a> {
         SelectionContext {
-            members: &self.members,
+            members: &self.directory,
             loads: &self.loads,
             service,
             runs: None,
--- a/crates/bulrushusher_gateway/src/knowledge/pressure.rs
+++ b/crates/bulrushusher_gateway/src/knowledge/pressure.rs
@@ -1,4 +1,4 @@
-//! Back-pressure that runners signalled in their answers, here and at peers.
+//! Back-pressure that runners signalled in their responses to this gateway and its peers.
 
 use bulrushusher_forward::{
     BackPressure, BackPressureCounts, BackPressureError, DrainReport, LimitReport, Runner,
@@ -11,18 +11,19 @@
 use super::Knowledge;
 
 impl Knowledge {
-    /// Takes in what a runner's answer asks for; returns the kinds that it did not ask for before.
-    pub(crate) fn hear_signals(
+    /// Records the back-pressure signals of a runner's response. Returns the kinds of signals that
+    /// are new.
+    pub(crate) fn record_signals(
         &self,
         runner: &Runner,
         signals: RunnerSignals,
     ) -> Vec<&'static str> {
-        if self.is_past(runner) {
+        if self.is_superseded(runner) {
             return Vec::new();
         }
         let now = self.now();
-        let before = self.pressure.lock().record_signals(runner, signals, now);
-        if before == signals {
+        let previous = self.pressure.lock().record_signals(runner, signals, now);
+        if previous == signals {
             return Vec::new();
         }
         log::info!(
@@ -33,116 +34,120 @@
             signals.retry_after.map_or(0, |length| length.0),
             signals.unreadable,
         );
-        if before.rate_limit != signals.rate_limit {
+        if previous.rate_limit != signals.rate_limit {
             self.report_due.notify_one();
         }
-        let limit_is_new = signals.rate_limit.is_some() && signals.rate_limit != before.rate_limit;
-        let leaving_is_new = signals.leaving && self.note_leaving(runner);
+        let limit_is_new =
+            signals.rate_limit.is_some() && signals.rate_limit != previous.rate_limit;
+        let leaving_is_new = signals.leaving && self.record_own_drain_notice(runner);
         let kinds = [
             ("rate_limit", limit_is_new),
             ("leaving", leaving_is_new),
             ("retry_after", signals.retry_after.is_some()),
-            ("unreadable", signals.unreadable && !before.unreadable),
+            ("unreadable", signals.unreadable && !previous.unreadable),
         ];
         kinds.into_iter().filter(|(_, is_new)| *is_new).map(|(kind, _)| kind).collect()
     }
 
-    /// The runner has said itself that it leaves; returns whether that is new.
-    fn note_leaving(&self, runner: &Runner) -> bool {
+    /// Records that the runner announced its shutdown. Returns whether that is new.
+    fn record_own_drain_notice(&self, runner: &Runner) -> bool {
         let report = DrainReport { runner: runner.id.clone(), born: runner.born };
         let is_new =
-            self.with_runners(|runners, now| runners.members.record_drain_notice(&report, now));
+            self.with_runners(|runners, now| runners.directory.record_drain_notice(&report, now));
         if is_new {
             self.report_due.notify_one();
         }
         is_new
     }
 
-    /// Takes in of which runners a peer has heard that they leave.
-    pub(super) fn hear_leaving(&self, peer: &str, reports: &[DrainReport]) {
+    /// Merges the runners that a peer reports as draining.
+    pub(super) fn merge_drain_reports(&self, peer: &str, reports: &[DrainReport]) {
         for report in reports {
-            if self.with_runners(|runners, now| runners.members.record_drain_notice(report, now)) {
+            if self.with_runners(|runners, now| runners.directory.record_drain_notice(report, now))
+            {
                 log::info!("runners: leaving heard id={} peer={peer}", report.runner);
                 self.report_due.notify_one();
             }
         }
     }
 
-    /// Takes in what a peer tells of rate limits.
-    pub(super) fn hear_limits(&self, peer: &str, reports: &[LimitReport]) {
+    /// Merges the rate limits that a peer reports.
+    pub(super) fn merge_limits(&self, peer: &str, reports: &[LimitReport]) {
         let now = self.now();
         let mut pressure = self.pressure.lock();
         pressure.record_gateway(peer, now);
-        let before = pressure.counts(now).limited;
+        let previous = pressure.counts(now).limited;
         pressure.merge_reports(reports, now);
         let limited = pressure.counts(now).limited;
         drop(pressure);
-        if limited != before {
-            log::info!("runners: limits heard peer={peer} limited={limited} before={before}");
+        if limited != previous {
+            log::info!("runners: limits heard peer={peer} limited={limited} before={previous}");
         }
     }
 
-    /// What peers are told of rate limits.
-    pub(super) fn limits_told(&self) -> Vec<LimitReport> {
+    /// The rate limit reports for the peers.
+    pub(super) fn limit_reports(&self) -> Vec<LimitReport> {
         self.pressure.lock().reports(self.now())
     }
 
-    /// What is known of runners' signals, with this gateway's shares of limits as they are now.
+    /// The runners' signals, with this gateway's shares of rate limits updated to `now`.
     pub(super) fn pressure_at(&self, now: Millis) -> MutexGuard<'_, BackPressure> {
         let mut pressure = self.pressure.lock();
         pressure.refresh(now);
         pressure
     }
 
-    /// Whether work that was counted before may still go to a runner.
+    /// Checks whether a request that already has a permit may still be sent to a runner.
     ///
     /// # Errors
-    /// What the runner asked for meanwhile.
-    pub(crate) fn may_send(&self, runner: &Runner) -> Result<(), BackPressureError> {
-        let leaves = self
-            .with_runners(|runners, _| runners.members.has_drain_notice(&runner.id, runner.born));
-        match leaves {
+    ///
+    /// The back-pressure that the runner has signalled meanwhile.
+    pub(crate) fn check_send(&self, runner: &Runner) -> Result<(), BackPressureError> {
+        let is_leaving = self
+            .with_runners(|runners, _| runners.directory.has_drain_notice(&runner.id, runner.born));
+        match is_leaving {
             true => Err(BackPressureError::Leaving),
             false => self.pressure.lock().check_backoff(runner, self.now()),
         }
     }
 
-    /// Counts requests that are about to be sent to a runner.
+    /// Acquires permits for requests that are about to be sent to a runner.
     ///
     /// # Errors
-    /// What the runner asked for when they may not be sent.
-    pub(crate) fn take_permits(
+    ///
+    /// The back-pressure that forbids sending them.
+    pub(crate) fn acquire_permits(
         &self,
         runner: &Runner,
         requests: u32,
     ) -> Result<(), BackPressureError> {
-        self.may_send(runner)?;
+        self.check_send(runner)?;
         let now = self.now();
         self.pressure_at(now).acquire(runner, requests, now)
     }
 
-    /// Counts a request that is sent whatever its runner asked for.
-    pub(crate) fn owe_permit(&self, runner: &Runner) {
+    /// Charges a request that is sent regardless of back-pressure.
+    pub(crate) fn charge_permit(&self, runner: &Runner) {
         let now = self.now();
         self.pressure.lock().charge_rate_limit(runner, 1, now);
     }
 
-    /// Requests that were counted are not sent after all.
-    pub(crate) fn give_permits_back(&self, runner: &Runner, requests: u32) {
+    /// Releases the permits of requests that are not sent.
+    pub(crate) fn release_permits(&self, runner: &Runner, requests: u32) {
         let now = self.now();
         self.pressure.lock().release(runner, requests, now);
     }
 
-    /// True until the time in the runner's last refusal is over.
+    /// True until the Retry-After time of the runner's last refusal is over.
     pub(crate) fn is_backing_off(&self, runner: &Runner) -> bool {
         self.pressure.lock().check_backoff(runner, self.now()).is_err()
     }
 
-    /// When every runner of the service asked for what keeps this gateway from sending to it: the time
-    /// until the first one may be sent to again. `None` when one is open, or there is none.
+    /// Time until any runner of the service may be sent a request, if back-pressure closes all of
+    /// them. `None` if one is open or the service has no runner.
     ///
-    /// `stage` narrows it to the runners that do that half of a generation.
-    pub(crate) fn pressed_for(
+    /// `stage` restricts the check to prefill or decode runners.
+    pub(crate) fn time_until_any_open(
         &self,
         service: &ServiceName,
         stage: Option<Stage>,
@@ -153,20 +158,21 @@
                 return None;
             }
             let of_stage = |r: &&Runner| stage.is_none() || r.stage == stage;
-            let usable = runners.members.usable(service, now).filter(of_stage);
-            let first =
-                usable.map(|r| pressure.time_until_open(r, now).unwrap_or(OTHERS_SHARE)).min();
-            first.filter(|opens_in| *opens_in > Millis(0))
+            let usable = runners.directory.usable(service, now).filter(of_stage);
+            let earliest = usable
+                .map(|r| pressure.time_until_open(r, now).unwrap_or(OTHER_GATEWAY_RETRY))
+                .min();
+            earliest.filter(|opens_in| *opens_in > Millis(0))
         })
     }
 
-    /// How many runners asked for something.
+    /// Number of runners with each kind of back-pressure.
     pub(crate) fn pressure_counts(&self) -> BackPressureCounts {
         let now = self.now();
         self.pressure.lock().counts(now)
     }
 }
 
-/// When a caller comes back that is refused here while other gateways share the runner's whole limit: its
-/// next attempt reaches another gateway.
-const OTHERS_SHARE: Millis = Millis(300);
+/// Retry-After time of a request that is refused because other gateways use the whole rate limit of
+/// the runner. The next attempt reaches another gateway.
+const OTHER_GATEWAY_RETRY: Millis = Millis(300);
--- a/crates/bulrushusher_gateway/src/peers/mod.rs
+++ b/crates/bulrushusher_gateway/src/peers/mod.rs
@@ -1,6 +1,6 @@
-//! The other gateways: found, told, heard.
+//! Communication with the other gateways: discovery, reports and forwarded changes of the store.
 
 pub(crate) mod announcing;
 pub(crate) mod relaying;
 pub(crate) mod report_codec;
-pub(crate) mod speaking;
+pub(crate) mod reporting;
--- a/crates/bulrushusher_gateway/src/peers/report_codec.rs
+++ b/crates/bulrushusher_gateway/src/peers/report_codec.rs
@@ -1,81 +1,83 @@
-//! How gateways write to each other: a version, then a compact binary form.
+//! Encoding of the datagrams between gateways: a version byte, then a compact binary encoding.
 //!
-//! Gateways of two versions may run side by side while a deployment is rolled. What another version
-//! wrote is told apart by its first bytes and passed over; its gateway then counts as one that is not
-//! heard, and comes back with its next version.
+//! During a rolling deployment gateways of two versions run side by side. Datagrams of another
+//! version are recognised by their first bytes and ignored. Their sender then counts as unreachable
+//! until it is upgraded too.
 
 use bulrushusher_forward::{DeltaRequest, GatewayDelta, GatewayReport};
 use bulrushusher_routing::CrashUpdate;
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-use crate::peers::relaying::StoreNews;
+use crate::peers::relaying::StoreChanges;
 
-/// Marks a datagram as a gateway's.
+/// First byte of every datagram between gateways.
 const MARK: u8 = 0xB5;
 
-/// Raised with each change of the form of [`Datagram`] or of what it holds.
+/// Incremented with each change to the encoding of [`Datagram`] or of its contents.
 const VERSION: u8 = 4;
 
-/// What one gateway writes to another.
+/// A datagram between two gateways.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Datagram {
-    /// Name of the gateway that writes.
+    /// Name of the sender.
     pub from: String,
-    pub word: Word,
+    pub message: Message,
 }
 
-/// What it says.
+/// Contents of a datagram.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum Word {
-    /// All that it has at runners.
-    Whole(GatewayReport),
-    /// What changed since its report before.
-    Changes(GatewayDelta),
-    /// It missed a report, and asks for a whole one.
-    Missed,
-    /// Requests that crash runners.
-    Crashes(CrashUpdate),
-    /// What it knows beyond the news that it was told.
-    CrashesBeyond(CrashUpdate),
-    /// What a relay passes on of the store's changes.
-    Store(StoreNews),
-    /// It missed changes of the runners' list, and asks a relay for them.
-    AskRunners(DeltaRequest),
-    /// It does not remember what it was asked for: the store does.
-    NotRemembered,
+pub(crate) enum Message {
+    /// The full state of the sender's requests at runners.
+    Full(GatewayReport),
+    /// Changes since the sender's previous report.
+    Delta(GatewayDelta),
+    /// Requests a full report, after a report was missed.
+    RequestFull,
+    /// Update on requests that crash runners.
+    CrashUpdate(CrashUpdate),
+    /// What the receiver of a crash update has and its sender lacks.
+    CrashReply(CrashUpdate),
+    /// Changes of the store, forwarded by a relay.
+    StoreChanges(StoreChanges),
+    /// Requests missed changes of the runner list from a relay.
+    RequestRunners(DeltaRequest),
+    /// The requested changes are no longer kept; the store must be asked.
+    HistoryGone,
 }
 
-/// Why a datagram cannot be read.
+/// Why a datagram cannot be decoded.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub(crate) enum CodecError {
-    /// It is not a gateway's.
-    #[display("it is no gateway's; look who sends to this address")]
+    /// The datagram was not sent by a gateway.
+    #[display("not a gateway datagram; check which program sends to this address")]
     Foreign,
-    /// A gateway of another version wrote it.
-    #[display("version {version} is not known; roll all gateways to one version")]
+    /// It was encoded by a gateway of another version.
+    #[display("unknown datagram version {version}; roll all gateways to the same version")]
     OtherVersion {
-        /// Its version.
+        /// The sender's version.
         version: u8,
     },
-    /// It is cut or changed on its way.
-    #[display("it is not whole; the next report replaces it")]
+    /// It was truncated or corrupted.
+    #[display("datagram is truncated or corrupt; the next report replaces it")]
     Broken,
 }
 
-/// Writes a datagram.
+/// Encodes a datagram.
 ///
 /// # Errors
-/// [`CodecError::Broken`] when it cannot be written, which no datagram of ours is known for.
-pub(crate) fn write(datagram: &Datagram) -> Result<Vec<u8>, CodecError> {
+///
+/// [`CodecError::Broken`] if it cannot be encoded, which is not known to happen.
+pub(crate) fn encode(datagram: &Datagram) -> Result<Vec<u8>, CodecError> {
     postcard::to_extend(datagram, vec![MARK, VERSION]).map_err(|_| CodecError::Broken)
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
-/// Why it cannot be read.
-pub(crate) fn read(bytes: &[u8]) -> Result<Datagram, CodecError> {
+///
+/// The reason why it cannot be decoded.
+pub(crate) fn decode(bytes: &[u8]) -> Result<Datagram, CodecError> {
     match bytes {
         [MARK, VERSION, rest @ ..] => postcard::from_bytes(rest).map_err(|_| CodecError::Broken),
         [MARK, version, ..] => Err(CodecError::OtherVersion { version: *version }),
--- a/crates/bulrushusher_gateway/src/placement/holds.rs
+++ b/crates/bulrushusher_gateway/src/placement/holds.rs
@@ -48,7 +48,7 @@
         dialect: &D,
     ) -> MemoryHold<D> {
         let HoldTerms { report, ttl } = terms;
-        let run = knowledge.hold_run(report);
+        let run = knowledge.add_run(report);
         MemoryHold {
             runner,
             id,
@@ -69,7 +69,7 @@
     /// True while the run may be sent: the hold has not expired, and the runner accepts new work.
     pub(crate) fn is_valid(&self, now: Millis) -> bool {
         let is_held = self.id.is_none() || now < self.expires;
-        is_held && self.knowledge.takes_work(&self.runner)
+        is_held && self.knowledge.accepts_work(&self.runner)
     }
 
     /// Records that the run now owns the memory, so that the hold is not released on drop.
@@ -81,7 +81,7 @@
     /// Records that the decode runner prefills the prompt itself.
     pub(crate) fn set_prefills_itself(&mut self) {
         self.prefills_itself = true;
-        self.knowledge.run_reads_itself(self.run);
+        self.knowledge.mark_run_prefills_itself(self.run);
     }
 
     /// True when the decode runner prefills the prompt itself.
@@ -96,12 +96,12 @@
 
     /// Records that the run generates nothing at present.
     pub(crate) fn stall(&self) {
-        self.knowledge.run_stalls(self.run);
+        self.knowledge.record_run_stall(self.run);
     }
 
     /// Records the number of tokens that the run has generated.
     pub(crate) fn progress(&self, generated: u64) {
-        self.knowledge.run_progress(self.run, generated);
+        self.knowledge.record_run_progress(self.run, generated);
     }
 }
 
@@ -109,11 +109,11 @@
     fn drop(&mut self) {
         self.knowledge.end_run(self.run);
         // A restarted runner no longer has the hold, and may have given its id to another one.
-        if let Some(id) = self.id.take().filter(|_| !self.knowledge.is_past(&self.runner)) {
+        if let Some(id) = self.id.take().filter(|_| !self.knowledge.is_superseded(&self.runner)) {
             let request = self.dialect.release_hold(&self.runner.id, &id);
             // A permit was acquired for the run, which is not sent; this request is charged
             // instead.
-            self.knowledge.give_permits_back(&self.runner, 1);
+            self.knowledge.release_permits(&self.runner, 1);
             spawn_release(&self.exchanger, &self.runner, request, "hold");
         }
     }
@@ -157,7 +157,7 @@
 
     /// True when the runner has restarted since, which loses the cache.
     pub(crate) fn is_lost(&self) -> bool {
-        self.knowledge.is_past(&self.runner)
+        self.knowledge.is_superseded(&self.runner)
     }
 
     /// Records that a decode runner has fetched the cache, so that it is not freed on drop.
--- a/crates/bulrushusher_gateway/src/placement/place.rs
+++ b/crates/bulrushusher_gateway/src/placement/place.rs
@@ -42,7 +42,7 @@
 
 impl Drop for QueueGuard {
     fn drop(&mut self) {
-        self.knowledge.leave_line(&self.service, &self.rank);
+        self.knowledge.leave_queue(&self.service, &self.rank);
     }
 }
 
@@ -91,7 +91,7 @@
     history: &AttemptHistory,
     until: Millis,
 ) -> Result<MemoryHold<D>, PlacementError> {
-    let rank = cx.knowledge.join_line(
+    let rank = cx.knowledge.join_queue(
         &fwd.service,
         fwd.is_late(),
         fwd.priority(),
@@ -126,8 +126,8 @@
     queued: &QueueGuard,
     history: &AttemptHistory,
 ) -> Vec<Runner> {
-    let yields = queued.rank.late && cx.knowledge.peers_have_waiting();
-    if yields || !cx.knowledge.with_line(&queued.service, |l| l.may_request_memory(&queued.rank)) {
+    let yields = queued.rank.late && cx.knowledge.peers_have_on_time_waiting();
+    if yields || !cx.knowledge.with_queue(&queued.service, |l| l.may_request_memory(&queued.rank)) {
         return Vec::new();
     }
     let own_prefill = match prefill_options(cx, fwd) {
@@ -137,7 +137,11 @@
     let shape = RunShape::of(fwd.request.size.as_ref());
     let mut runners =
         cx.knowledge.rank_for_decode(&fwd.service, &history.excluded_decodes, shape, own_prefill);
-    runners.truncate(if cx.knowledge.asks_now(runners.len()) { MAX_CANDIDATES } else { 0 });
+    runners.truncate(if cx.knowledge.may_request_memory(runners.len()) {
+        MAX_CANDIDATES
+    } else {
+        0
+    });
     runners
 }
 
@@ -158,7 +162,7 @@
     let run = RunShape { generated, ..RunShape::of(fwd.request.size.as_ref()) };
     let remaining = fwd.remaining(cx.now());
     let probability =
-        cx.knowledge.with_pace(&fwd.service, |pace| pace.completion_probability(&run, remaining));
+        cx.knowledge.with_timing(&fwd.service, |pace| pace.completion_probability(&run, remaining));
     probability >= MIN_COMPLETION_PROBABILITY
 }
 
@@ -185,7 +189,7 @@
 /// Determines the binding constraint, and logs it with the figures that show it.
 fn give_up<D: Dialect>(cx: &Router<D>, fwd: &ForwardedRequest, refusals: usize) -> PlacementError {
     let shape = RunShape::of(fwd.request.size.as_ref());
-    let outlook = cx.knowledge.memory_outlook(&fwd.service, shape);
+    let outlook = cx.knowledge.forecast_summary(&fwd.service, shape);
     let can_prefill = match prefill_options(cx, fwd) {
         PrefillOptions::Any => true,
         PrefillOptions::Decode(task) => {
@@ -212,7 +216,7 @@
         outlook.lowest,
         outlook.room,
         outlook.peers,
-        cx.knowledge.waiting(),
+        cx.knowledge.queued_requests(),
     );
     bound
 }
@@ -224,7 +228,7 @@
     runner: Runner,
 ) -> Option<MemoryHold<D>> {
     let started = cx.now();
-    if cx.knowledge.take_permits(&runner, REQUESTS_PER_GENERATION).is_err() {
+    if cx.knowledge.acquire_permits(&runner, REQUESTS_PER_GENERATION).is_err() {
         return None;
     }
     let tokens = hold_tokens(cx, fwd);
@@ -247,7 +251,7 @@
         }
     };
     if held.is_none() {
-        cx.knowledge.give_permits_back(&runner, REQUESTS_PER_GENERATION - 1);
+        cx.knowledge.release_permits(&runner, REQUESTS_PER_GENERATION - 1);
     }
     cx.metrics.hold(result);
     log::info!(
@@ -272,7 +276,7 @@
 ) -> (Option<MemoryHold<D>>, &'static str) {
     let hold =
         |runner, id| MemoryHold::new(runner, id, terms, &cx.knowledge, &cx.exchanger, &cx.dialect);
-    if cx.knowledge.is_past(&runner) {
+    if cx.knowledge.is_superseded(&runner) {
         return (None, "started_again");
     }
     match (status, cx.dialect.parse_hold_id(body)) {
@@ -292,7 +296,7 @@
 
 fn record_unreachable<D: Dialect>(cx: &Router<D>, runner: &Runner, e: &ExchangeError) {
     log::info!("place: runner={} cause=\"{e}\"", runner.id);
-    cx.knowledge.note_call(runner, CallResult::Unreachable);
+    cx.knowledge.record_call(runner, CallResult::Unreachable);
 }
 
 fn hold_ttl<D: Dialect>(cx: &Router<D>, fwd: &ForwardedRequest) -> Millis {
--- a/crates/bulrushusher_gateway/src/placement/prefill.rs
+++ b/crates/bulrushusher_gateway/src/placement/prefill.rs
@@ -92,8 +92,8 @@
     prefill: Option<&Runner>,
 ) -> PrefillTask {
     let per_event = cx.knowledge.tokens_per_event(&fwd.service) as f64;
-    let queued = prefill.map(|prefill| cx.knowledge.tokens_at_prefill(&prefill.id));
-    cx.knowledge.with_pace(&fwd.service, |pace| PrefillTask {
+    let queued = prefill.map(|prefill| cx.knowledge.queued_prefill_tokens(&prefill.id));
+    cx.knowledge.with_timing(&fwd.service, |pace| PrefillTask {
         tokens: fwd.prompt_tokens(),
         queued_tokens: queued,
         prefill_timing: pace.prefill(),
@@ -141,10 +141,10 @@
 ) -> Result<KvCacheGuard<D>, CallResult> {
     let started = cx.now();
     let tokens = fwd.prompt_tokens();
-    let queued = cx.knowledge.tokens_at_prefill(&runner.id);
+    let queued = cx.knowledge.queued_prefill_tokens(&runner.id);
     let _load = LoadGuard::begin(&cx.knowledge, &runner.id, tokens);
     let timeout =
-        cx.knowledge.with_pace(&fwd.service, |pace| pace.prefill_timeout(queued + tokens));
+        cx.knowledge.with_timing(&fwd.service, |pace| pace.prefill_timeout(queued + tokens));
     let timeout = timeout.min(max_wait).min(fwd.remaining(started));
     let watch = CrashWatch::begin(cx, fwd);
     let prefilled = send_prefill(cx, fwd, resume_after, &runner, timeout).await;
@@ -160,15 +160,15 @@
         AttemptRecord { runner: &runner, step: "read", started, result, detail },
     );
     match result {
-        CallResult::NotRun => cx.knowledge.pause(&runner.id, REFUSED_PREFILL_PAUSE),
-        CallResult::Answered(_) => cx.knowledge.note_run_end(&runner, true),
-        CallResult::Failed => cx.knowledge.note_run_end(&runner, false),
+        CallResult::NotRun => cx.knowledge.pause_runner(&runner.id, REFUSED_PREFILL_PAUSE),
+        CallResult::Answered(_) => cx.knowledge.record_run_end(&runner, true),
+        CallResult::Failed => cx.knowledge.record_run_end(&runner, false),
         // A queue that is too long looks the same; the pause after it is sufficient.
         CallResult::Unreachable | CallResult::Withheld => {}
     }
     let handle = prefilled.map_err(|failed| failed.result)?;
     let took = cx.now().since(started);
-    cx.knowledge.with_pace(&fwd.service, |pace| pace.record_prefill(queued + tokens, took));
+    cx.knowledge.with_timing(&fwd.service, |pace| pace.record_prefill(queued + tokens, took));
     Ok(KvCacheGuard::new(runner, handle, &cx.knowledge, &cx.exchanger, &cx.dialect))
 }
 
--- a/crates/bulrushusher_gateway/src/runners/exchange.rs
+++ b/crates/bulrushusher_gateway/src/runners/exchange.rs
@@ -127,13 +127,13 @@
     /// Acquires or charges the permit of a request.
     fn apply_permit(&self, runner: &Runner, permit: Permit) -> Result<(), ExchangeError> {
         let permitted = match permit {
-            Permit::Acquire => self.knowledge.take_permits(runner, 1),
-            Permit::Acquired => self.knowledge.may_send(runner),
+            Permit::Acquire => self.knowledge.acquire_permits(runner, 1),
+            Permit::Acquired => self.knowledge.check_send(runner),
             Permit::Cleanup if self.knowledge.is_backing_off(runner) => {
                 Err(BackPressureError::RetryAfter)
             }
             Permit::Exempt | Permit::Cleanup => {
-                self.knowledge.owe_permit(runner);
+                self.knowledge.charge_permit(runner);
                 Ok(())
             }
         };
@@ -192,7 +192,7 @@
         }
         // Signals in the response of another runner at this address do not apply to this runner.
         if !info.wrong_runner {
-            for kind in self.knowledge.hear_signals(runner, info.signals) {
+            for kind in self.knowledge.record_signals(runner, info.signals) {
                 self.metrics.signal(kind);
             }
         }
--- a/crates/bulrushusher_gateway/src/runners/router.rs
+++ b/crates/bulrushusher_gateway/src/runners/router.rs
@@ -115,7 +115,7 @@
     /// # Errors
     /// The reason why it may not run, with the time after which to retry.
     pub(crate) fn may_run(&self, fwd: &ForwardedRequest) -> Result<(), Withheld> {
-        if let Some(retry_after) = self.knowledge.quarantine_left(fwd.digest) {
+        if let Some(retry_after) = self.knowledge.quarantine_remaining(fwd.digest) {
             return Err(Withheld { reason: QUARANTINED, retry_after });
         }
         match fwd.caller.is_authorized() {
@@ -132,7 +132,7 @@
         fwd: &ForwardedRequest,
         stage: Option<Stage>,
     ) -> Option<Millis> {
-        let delay = self.knowledge.pressed_for(&fwd.service, stage)?;
+        let delay = self.knowledge.time_until_any_open(&fwd.service, stage)?;
         let spread = 1.0 + RETRY_AFTER_SPREAD * self.knowledge.draw();
         Some(delay.max(MIN_RETRY_AFTER).share(spread))
     }
@@ -170,7 +170,7 @@
             CallResult::Answered(_) => CallResult::Answered(took),
             other => other,
         };
-        self.knowledge.note_call(record.runner, result);
+        self.knowledge.record_call(record.runner, result);
         let label = result_label(result);
         self.metrics.attempt(record.step, label, took.0 as f64);
         log::info!(
@@ -188,7 +188,7 @@
     /// Removes a runner that is gone, or whose address belongs to another one.
     pub(crate) fn remove_runner(&self, runner: &RunnerId, cause: &str) {
         log::info!("runners: gone id={runner} cause=\"{cause}\"");
-        self.knowledge.drop_runner(runner);
+        self.knowledge.forget_runner(runner);
         self.exchanger.pool().forget(runner);
     }
 }
--- a/crates/bulrushusher_gateway/src/runs/begin.rs
+++ b/crates/bulrushusher_gateway/src/runs/begin.rs
@@ -113,9 +113,9 @@
         // runner loses caches, and the next decode runner prefills the prompt itself. Or the decode
         // runner accepts nothing, so it is not tried again for this request either.
         Err(RunError::Ended(AttemptEnd::NotRun, _)) => {
-            cx.knowledge.note_run_end(&runner, false);
+            cx.knowledge.record_run_end(&runner, false);
             if let Some(kv) = &kv {
-                cx.knowledge.note_call(kv.runner(), CallResult::Unreachable);
+                cx.knowledge.record_call(kv.runner(), CallResult::Unreachable);
                 history.prefill_at_decode = true;
             }
             history.excluded_decodes.push(runner.id);
@@ -140,7 +140,7 @@
         false => fwd.remaining(started),
     };
     let prefills = held.as_ref().is_some_and(MemoryHold::prefills_itself);
-    let watch = prefills.then(|| cx.knowledge.watch_reading(&runner));
+    let watch = prefills.then(|| cx.knowledge.track_prefill(&runner));
     let mut crash_watch = CrashWatch::begin(cx, fwd);
     let sending = cx.attempt(fwd, &runner, spec, timeout);
     let sent = watch_silence(cx, fwd, &runner, sending).await;
@@ -173,7 +173,7 @@
             let outcome = (e.call_result(), &*e.to_string());
             record(cx, fwd, &runner, "generate", started, outcome);
             if !e.is_withheld() {
-                cx.knowledge.note_run_end(&runner, false);
+                cx.knowledge.record_run_end(&runner, false);
             }
             return Err(RunError::Ended(e.attempt_end(), "no decode runner answered"));
         }
@@ -187,7 +187,7 @@
     };
     record(cx, fwd, &runner, "generate", started, (result, detail));
     if matches!(result, CallResult::Failed | CallResult::Unreachable) {
-        cx.knowledge.note_run_end(&runner, false);
+        cx.knowledge.record_run_end(&runner, false);
     }
     Err(error)
 }
@@ -205,7 +205,7 @@
     match tokio::time::timeout(silence, &mut sending).await {
         Ok(sent) => sent,
         Err(_) => {
-            cx.knowledge.note_run_end(runner, false);
+            cx.knowledge.record_run_end(runner, false);
             sending.await
         }
     }
--- a/crates/bulrushusher_gateway/src/runs/call.rs
+++ b/crates/bulrushusher_gateway/src/runs/call.rs
@@ -172,7 +172,7 @@
     }
     let ended = read.unwrap_or_else(failed_exchange);
     if matches!(ended, AttemptResult::Answer(..)) {
-        cx.knowledge.note_answer(fwd.digest);
+        cx.knowledge.record_answer(fwd.digest);
     }
     let (result, detail) = match &ended {
         AttemptResult::Answer(..) => (CallResult::Answered(Millis(0)), ""),
--- a/crates/bulrushusher_gateway/src/runs/migration.rs
+++ b/crates/bulrushusher_gateway/src/runs/migration.rs
@@ -14,7 +14,7 @@
 use hyper::StatusCode;
 
 use crate::dialect::{Dialect, RunCopy, Step};
-use crate::knowledge::RunFate;
+use crate::knowledge::MoveDecision;
 use crate::placement::attempts::RunError;
 use crate::placement::holds::{HoldTerms, KvCacheGuard, MemoryHold};
 use crate::runners::permit::Permit;
@@ -76,15 +76,17 @@
             Migration::Idle { until } if cx.now() >= *until => {}
             Migration::Idle { .. } | Migration::Copying(_) | Migration::Stopped(_) => return,
         }
-        let cause = match cx.knowledge.run_fate(&fwd.service, held.run()) {
-            RunFate::Stays => return,
-            RunFate::NoRoom => "no runner has room",
+        let cause = match cx.knowledge.move_decision(&fwd.service, held.run()) {
+            MoveDecision::Stay => return,
+            MoveDecision::NoCapacity => "no runner has room",
             // For the receiving runner this is a request beyond those of callers, so it needs a
             // retry from the budget.
-            RunFate::Moves { .. } if !cx.knowledge.take_retry(&fwd.service) => "no repeat is left",
-            RunFate::Moves { to, note } => {
+            MoveDecision::Move { .. } if !cx.knowledge.take_retry(&fwd.service) => {
+                "no repeat is left"
+            }
+            MoveDecision::Move { to, report } => {
                 let (cx, fwd, from) = (cx.clone(), fwd.clone(), held.runner.clone());
-                let copying = async move { copy(&cx, &fwd, from, to, note).await };
+                let copying = async move { copy(&cx, &fwd, from, to, report).await };
                 *self = Migration::Copying(Box::pin(copying));
                 return;
             }
@@ -128,7 +130,7 @@
     let started = cx.now();
     let generated = report.generated;
     let held = hold_at(cx, &to, &report);
-    let kv = match cx.knowledge.take_permits(&to, 1) {
+    let kv = match cx.knowledge.acquire_permits(&to, 1) {
         Ok(()) => copy_and_stop(cx, fwd, &from, &to).await,
         Err(pressure) => Err(pressure.to_string()),
     };
--- a/crates/bulrushusher_gateway/src/runs/stream.rs
+++ b/crates/bulrushusher_gateway/src/runs/stream.rs
@@ -76,12 +76,12 @@
         cx.metrics.attempt("stream", result, took.0 as f64);
         match end {
             RunEnd::Complete => {
-                cx.knowledge.note_answer(fwd.digest);
-                cx.knowledge.note_run_end(&runner, true);
+                cx.knowledge.record_answer(fwd.digest);
+                cx.knowledge.record_run_end(&runner, true);
                 let expected = fwd.request.size.map_or(0, |size| size.expected());
                 let generated = last * cx.knowledge.tokens_per_event(&fwd.service);
                 let took = cx.now().since(first_start);
-                cx.knowledge.with_pace(&fwd.service, |pace| {
+                cx.knowledge.with_timing(&fwd.service, |pace| {
                     pace.record_generation(took, expected, generated);
                 });
                 return;
@@ -102,7 +102,7 @@
             RunEnd::DeadlinePassed => break,
             RunEnd::Broken(_) => {
                 watch.connection_lost(cx, &runner).await;
-                cx.knowledge.note_run_end(&runner, false);
+                cx.knowledge.record_run_end(&runner, false);
             }
         }
         match resume_elsewhere(cx, fwd, &mut plan, &mut progress, &mut history, &tx).await {
--- a/crates/bulrushusher_gateway/src/store/quarantine.rs
+++ b/crates/bulrushusher_gateway/src/store/quarantine.rs
@@ -1,7 +1,8 @@
-//! Keeps the requests in quarantine in the store, for gateways that start after all others have ended.
+//! Persists the quarantined requests in the store, for gateways that start after all others have
+//! ended.
 //!
-//! Peers tell each other at once; the store is read at start and when a request is first suspected,
-//! as a gateway that its peers do not reach learns of it there.
+//! Peers report entries to each other at once. The store is read at start and when a request is
+//! first suspected, since a gateway that receives no peer reports gets the entries only there.
 
 use std::sync::Arc;
 
@@ -16,13 +17,13 @@
 /// Name of the record in the store.
 const RECORD: &str = "quarantine";
 
-/// Longest wait for the store; it answers in milliseconds when it is well.
+/// Timeout of a call to the store. A healthy store answers within milliseconds.
 const CALL_TIMEOUT: Millis = Millis(500);
 
-/// Pause after a call that failed, or that another gateway's write came before.
-const TRY_AGAIN: Millis = Millis(700);
+/// Delay before a retry after a failed call or a conflicting write of another gateway.
+const RETRY_DELAY: Millis = Millis(700);
 
-/// What the record holds.
+/// Contents of the record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct QuarantineRecord {
     requests: Vec<Quarantined>,
@@ -38,45 +39,45 @@
 
 impl<S: PlatformStore> QuarantineKeeper<S> {
     /// Reads and writes until dropped.
-    pub(crate) async fn keep(self) {
-        let mut restores = self.knowledge.restores();
+    pub(crate) async fn run(self) {
+        let mut restores = self.knowledge.store_restores();
         loop {
-            while let Err(cause) = self.look().await {
+            while let Err(cause) = self.sync().await {
                 self.metrics.store_call("quarantine", "failed");
-                log::info!("quarantine: record not read or written yet cause=\"{cause}\"");
-                tokio::time::sleep(TRY_AGAIN.duration()).await;
+                log::info!("quarantine: record sync failed, retrying cause=\"{cause}\"");
+                tokio::time::sleep(RETRY_DELAY.duration()).await;
             }
             tokio::select! {
                 () = self.knowledge.quarantine_due.notified() => {}
-                // The sender lives as long as this.
-                _ = restores.changed() => self.knowledge.write_quarantined_again(),
+                // Never closed: `self` holds the sender.
+                _ = restores.changed() => self.knowledge.rewrite_quarantined(),
             }
         }
     }
 
-    /// Takes in what the record holds, and adds what this gateway found out.
-    async fn look(&self) -> Result<(), String> {
+    /// Inserts the entries of the record, and adds the ones that this gateway has found.
+    async fn sync(&self) -> Result<(), String> {
         let record = self.store.read_record(RECORD, CALL_TIMEOUT).await;
         let record = record.map_err(|e| e.to_string())?;
         self.metrics.store_call("quarantine", "read");
-        let (revision, held) = match record {
-            Some(record) => (Some(record.revision), read(record.value).requests),
+        let (revision, stored) = match record {
+            Some(record) => (Some(record.revision), parse_record(record.value).requests),
             None => (None, Vec::new()),
         };
-        let learned = self.knowledge.hold_quarantined(&held);
-        if learned > 0 {
-            log::info!("quarantine: read from the store learned={learned}");
+        let added = self.knowledge.insert_quarantined(&stored);
+        if added > 0 {
+            log::info!("quarantine: read from the store learned={added}");
         }
-        let found = self.knowledge.quarantined_to_write();
-        let is_held = |it: &Quarantined| held.iter().any(|held| held.digest == it.digest);
-        if !found.iter().all(is_held) {
+        let unwritten = self.knowledge.unwritten_quarantined();
+        let is_stored = |it: &Quarantined| stored.iter().any(|stored| stored.digest == it.digest);
+        if !unwritten.iter().all(is_stored) {
             self.write(revision).await?;
         }
-        self.knowledge.quarantined_written(&found);
+        self.knowledge.mark_quarantined_written(&unwritten);
         Ok(())
     }
 
-    /// Writes all that is in quarantine; what is over goes out of the record.
+    /// Writes all entries in quarantine. Expired ones are thereby removed from the record.
     async fn write(&self, revision: Option<u64>) -> Result<(), String> {
         let requests = self.knowledge.all_quarantined();
         let count = requests.len();
@@ -89,13 +90,14 @@
                 log::info!("quarantine: written requests={count} revision={revision}");
                 Ok(())
             }
-            RecordWrite::Conflict => Err("another gateway wrote first".to_owned()),
+            RecordWrite::Conflict => Err("another gateway wrote the record first".to_owned()),
         }
     }
 }
 
-/// Reads the record. One by another writer holds nothing; what is written next replaces it.
-fn read(value: serde_json::Value) -> QuarantineRecord {
+/// Parses the record. A record of another writer counts as empty and is overwritten by the next
+/// write.
+fn parse_record(value: serde_json::Value) -> QuarantineRecord {
     serde_json::from_value(value).unwrap_or_else(|e| {
         log::warn!("quarantine: record passed over name={RECORD} cause=\"{e}\"");
         QuarantineRecord::default()
--- a/crates/bulrushusher_gateway/src/store/renewing.rs
+++ b/crates/bulrushusher_gateway/src/store/renewing.rs
@@ -1,7 +1,7 @@
-//! Renews the lease on the configuration: asks the store whether it is still in force.
+//! Renews the lease on the configuration by asking the store whether it is still in force.
 //!
-//! A wait for changes says nothing until it ends, and waits are long where many gateways follow the store.
-//! So the store is asked in between, by a call that does not wait.
+//! A long poll confirms nothing until it ends, and polls are long where many gateways follow the
+//! store. Calls without a wait therefore renew the lease in between.
 
 use std::sync::Arc;
 
@@ -13,14 +13,15 @@
 use crate::knowledge::Knowledge;
 use crate::store::intake::Intake;
 
-/// Longest wait for an answer; it comes within milliseconds when the store is well.
+/// Timeout of a call. A healthy store answers within milliseconds.
 const CALL_TIMEOUT: Millis = Millis(400);
 
-/// Pause after a call that failed, half of it random: some tries fit into what is left of a lease.
-const TRY_AGAIN: Millis = Millis(250);
+/// Delay after a failed call, half of it random, so that several retries fit into the remaining
+/// lease.
+const RETRY_DELAY: Millis = Millis(250);
 
-/// Least time between two calls, however many callers bring keys that are not known.
-const LEAST_GAP: Millis = Millis(100);
+/// Minimum time between two calls, regardless of how many callers present unknown keys.
+const MIN_CALL_INTERVAL: Millis = Millis(100);
 
 /// The task that renews the lease.
 #[derive(Debug)]
@@ -32,39 +33,39 @@
 }
 
 impl<S: PlatformStore> LeaseKeeper<S> {
-    /// Renews until dropped.
-    pub(crate) async fn keep(self) {
-        let mut lost = false;
+    /// Renews the lease until dropped.
+    pub(crate) async fn run(self) {
+        let mut is_failing = false;
         loop {
-            self.until_due().await;
+            self.wait_until_due().await;
             match self.renew().await {
                 Ok(()) => {
-                    if lost {
+                    if is_failing {
                         log::info!("access: lease renewed again");
                     }
-                    lost = false;
-                    tokio::time::sleep(LEAST_GAP.duration()).await;
+                    is_failing = false;
+                    tokio::time::sleep(MIN_CALL_INTERVAL.duration()).await;
                 }
                 Err(cause) => {
-                    if !lost {
+                    if !is_failing {
                         log::warn!("access: lease not renewed cause=\"{cause}\"");
                     }
-                    lost = true;
-                    let pause = TRY_AGAIN.0 as f64 * (0.5 + 0.5 * self.knowledge.draw());
+                    is_failing = true;
+                    let pause = RETRY_DELAY.0 as f64 * (0.5 + 0.5 * self.knowledge.draw());
                     tokio::time::sleep(Millis(pause as u64).duration()).await;
                 }
             }
         }
     }
 
-    /// Waits until the lease is to be renewed, or somebody brings a key that is not known here.
-    async fn until_due(&self) {
+    /// Waits until the lease must be renewed, or a caller presents an unknown key.
+    async fn wait_until_due(&self) {
         loop {
             let due = self.knowledge.lease_due.notified();
             match self.knowledge.lease_due_in() {
                 Some(Millis(0)) => return,
-                Some(left) => {
-                    if tokio::time::timeout(left.duration(), due).await.is_ok() {
+                Some(remaining) => {
+                    if tokio::time::timeout(remaining.duration(), due).await.is_ok() {
                         return;
                     }
                 }
@@ -74,31 +75,32 @@
     }
 
     async fn renew(&self) -> Result<(), String> {
-        let (asked_at, topic) = (self.knowledge.now(), Topic::Configuration);
-        let after = self.knowledge.news_seen(topic);
+        let (requested_at, topic) = (self.knowledge.now(), Topic::Configuration);
+        let after = self.knowledge.seen_revision(topic);
         let answer = match self.store.watch(topic, after, NO_WAIT, CALL_TIMEOUT).await {
-            // Nobody has asked for longer than the store remembers.
+            // The last call is longer ago than the store keeps its history.
             Err(StoreError::HistoryGone) => self.list().await,
             answer => answer,
         };
-        let word = if answer.is_ok() { "renewed" } else { "not_renewed" };
-        self.metrics.store_call("configuration", word);
-        let news = answer.map_err(|e| e.to_string())?;
-        self.intake.take_changes(topic, after, news);
-        self.knowledge.renew_lease(asked_at);
+        let result = if answer.is_ok() { "renewed" } else { "not_renewed" };
+        self.metrics.store_call("configuration", result);
+        let update = answer.map_err(|e| e.to_string())?;
+        self.intake.apply_changes(topic, after, update);
+        self.knowledge.renew_lease(requested_at);
         Ok(())
     }
 
-    /// Asks for the configuration as it is. A store that came back from an older copy is for the feed to
-    /// take in, which hears of it here.
+    /// Requests the current configuration. A restore of the store is handled by the feed, which is
+    /// notified here.
     async fn list(&self) -> Result<ChangeBatch, StoreError> {
         let (topic, freshness) = (Topic::Configuration, Freshness::Latest);
-        let news = self.store.list(topic, freshness, CALL_TIMEOUT, &|_: &[Change]| ()).await?;
-        if era_of(news.revision) != era_of(self.knowledge.news_seen(topic)) {
-            let told = SeenRevisions { configuration: news.revision, ..SeenRevisions::default() };
-            self.knowledge.hear_store_news(told);
+        let update = self.store.list(topic, freshness, CALL_TIMEOUT, &|_: &[Change]| ()).await?;
+        if era_of(update.revision) != era_of(self.knowledge.seen_revision(topic)) {
+            let revisions =
+                SeenRevisions { configuration: update.revision, ..SeenRevisions::default() };
+            self.knowledge.record_relay_revisions(revisions);
             return Err(StoreError::Restored);
         }
-        Ok(news)
+        Ok(update)
     }
 }
