--- a/crates/bulrushusher_standin/src/engine/cache.rs
+++ b/crates/bulrushusher_standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache, and its late and lossy events.
+//! The prefix cache, and its delayed and lossy event log.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -8,10 +8,10 @@
 
 use super::{CacheEvent, EngineConfig};
 
-/// Events kept for readers.
+/// Events that are kept for readers.
 const MAX_EVENTS: usize = 4_096;
 
-/// Blocks held, least recently used first out.
+/// An LRU set of prompt blocks.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     capacity: usize,
@@ -40,12 +40,12 @@
         }
     }
 
-    /// How many of the blocks are cached from the start on.
+    /// Length of the longest cached prefix of `blocks`, in blocks.
     pub(super) fn cached_prefix(&self, blocks: &[u64]) -> usize {
         blocks.iter().take_while(|block| self.used_at.contains_key(block)).count()
     }
 
-    /// Notes that the blocks are cached now.
+    /// Inserts the blocks, or marks them as most recently used, and evicts down to capacity.
     pub(super) fn store(&mut self, blocks: &[u64], now: Millis) {
         for block in blocks {
             self.uses += 1;
@@ -62,11 +62,11 @@
         }
     }
 
-    /// Published events after number `after`.
+    /// Events after sequence number `after` that are published by `now`.
     pub(super) fn events(&self, after: u64, now: Millis) -> Vec<CacheEvent> {
-        let is_out = |at: &Millis| at.plus(self.delay) <= now;
-        let seen = self.events.iter().filter(|(at, e)| e.number > after && is_out(at));
-        seen.map(|(_, event)| *event).collect()
+        let is_published = |at: &Millis| at.plus(self.delay) <= now;
+        let published = self.events.iter().filter(|(at, e)| e.number > after && is_published(at));
+        published.map(|(_, event)| *event).collect()
     }
 
     fn publish(&mut self, block: u64, stored: bool, now: Millis) {
--- a/crates/bulrushusher_standin/src/engine/decode.rs
+++ b/crates/bulrushusher_standin/src/engine/decode.rs
@@ -1,4 +1,5 @@
-//! Decode: continuous batching, one token a step for every sequence; streams can be resumed.
+//! Decode with continuous batching: each step generates one token of every active sequence.
+//! Streams can be resumed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,79 +9,82 @@
 use tokio::sync::{Notify, mpsc};
 
 use super::state::{EngineState, Sequence};
-use super::{DecodeEvent, DecodeOrder, ExportOrder, Exported};
+use super::{DecodeEvent, DecodeRequest, ExportRequest, ExportResponse};
 use crate::prompt;
 
-const BEAT: Duration = Duration::from_millis(200);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(200);
 const IMPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a decode was refused. Nothing ran.
+/// Why a decode was rejected before it started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Refused {
-    Full,
-    KvGone,
-    SameRun,
+pub(super) enum DecodeRejection {
+    NoFreeSlot,
+    KvNotHeld,
+    DuplicateRun,
 }
 
-/// Takes a place, imports the KV cache and starts the sequence.
-pub(super) async fn begin(
+/// Acquires a slot, imports the KV cache and starts the sequence.
+pub(super) async fn start(
     engine: &Arc<EngineState>,
     client: &HttpClient,
-    order: &DecodeOrder,
-) -> Result<(), Refused> {
-    let mut place = take_place(engine, order)?;
-    let fetch = ExportOrder { kv: order.kv.kv };
-    let import: Result<Exported, _> =
-        client.post(order.kv.engine, "/export", &fetch, IMPORT_TIMEOUT).await;
-    let Ok(kv) = import else { return Err(Refused::KvGone) };
+    req: &DecodeRequest,
+) -> Result<(), DecodeRejection> {
+    let mut slot = acquire_slot(engine, req)?;
+    let fetch = ExportRequest { kv: req.kv.kv };
+    let import: Result<ExportResponse, _> =
+        client.post(req.kv.engine, "/export", &fetch, IMPORT_TIMEOUT).await;
+    let Ok(kv) = import else { return Err(DecodeRejection::KvNotHeld) };
     let mut tables = engine.tables.lock();
-    tables.keys.entry(order.key.clone()).or_default().runs += 1;
+    tables.keys.entry(req.key.clone()).or_default().runs += 1;
     let sequence = Sequence {
         mark: kv.mark,
-        max_tokens: order.max_tokens,
+        max_tokens: req.max_tokens,
         produced: 0,
         cancelled: false,
         progress: Arc::default(),
     };
-    tables.sequences.insert(order.run.clone(), sequence);
-    tables.active.insert(order.run.clone());
-    place.taken = false;
-    if tables.faults.crashes_on.is_some_and(|mark| tables.sequences[&order.run].mark == mark) {
+    tables.sequences.insert(req.run.clone(), sequence);
+    tables.active.insert(req.run.clone());
+    slot.owned = false;
+    if tables.faults.crashes_on.is_some_and(|mark| tables.sequences[&req.run].mark == mark) {
         tables.crash();
     }
     drop(tables);
-    engine.work.notify_one();
+    engine.sequence_started.notify_one();
     Ok(())
 }
 
-fn take_place<'a>(engine: &'a EngineState, order: &DecodeOrder) -> Result<Place<'a>, Refused> {
+fn acquire_slot<'a>(
+    engine: &'a EngineState,
+    req: &DecodeRequest,
+) -> Result<SlotGuard<'a>, DecodeRejection> {
     let mut tables = engine.tables.lock();
-    if tables.sequences.contains_key(&order.run) {
-        return Err(Refused::SameRun);
+    if tables.sequences.contains_key(&req.run) {
+        return Err(DecodeRejection::DuplicateRun);
     }
-    if tables.places_taken >= engine.cfg.places {
-        return Err(Refused::Full);
+    if tables.slots_used >= engine.cfg.slots {
+        return Err(DecodeRejection::NoFreeSlot);
     }
-    tables.places_taken += 1;
+    tables.slots_used += 1;
     drop(tables);
-    Ok(Place { engine, taken: true })
+    Ok(SlotGuard { engine, owned: true })
 }
 
-/// Gives the place back unless a sequence took it over.
-struct Place<'a> {
+/// An acquired slot; released on drop unless a sequence has taken ownership of it.
+struct SlotGuard<'a> {
     engine: &'a EngineState,
-    taken: bool,
+    owned: bool,
 }
 
-impl Drop for Place<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
-        if self.taken {
-            self.engine.tables.lock().places_taken -= 1;
+        if self.owned {
+            self.engine.tables.lock().slots_used -= 1;
         }
     }
 }
 
-/// Sends the tokens of `run` from `from` on as they come.
+/// Streams the tokens of `run` from index `from` as they are generated.
 pub(super) async fn follow(
     engine: Arc<EngineState>,
     run: String,
@@ -90,17 +94,17 @@
     let mut next = from;
     loop {
         let Some(progress) = progress_of(&engine, &run) else { return };
-        // Made before the look at the table, so that no step in between is missed.
-        let waiting = progress.notified();
+        // Created before the state is read, so that no step in between is missed.
+        let notified = progress.notified();
         let events = match engine.tables.lock().sequences.get(&run) {
             Some(sequence) => events_from(sequence, next),
             None => return,
         };
         if events.is_empty() {
             tokio::select! {
-                () = waiting => {}
+                () = notified => {}
                 () = tx.closed() => return,
-                () = tokio::time::sleep(BEAT) => {
+                () = tokio::time::sleep(KEEP_ALIVE_INTERVAL) => {
                     tx.send(json_line(&DecodeEvent::Beat)).await.ok();
                 }
             }
@@ -128,13 +132,13 @@
     let mut events: Vec<DecodeEvent> = (from..sequence.produced).map(token).collect();
     if sequence.cancelled {
         events.push(DecodeEvent::Cancelled);
-    } else if sequence.is_over() {
+    } else if sequence.is_finished() {
         events.push(DecodeEvent::End { tokens: sequence.produced });
     }
     events
 }
 
-/// Frees the memory of a run; false when it holds none.
+/// Cancels an active run and frees its slot; returns false if the run isn't active.
 pub(super) fn cancel(engine: &EngineState, run: &str) -> bool {
     let mut tables = engine.tables.lock();
     if !tables.active.contains(run) {
@@ -144,16 +148,16 @@
         sequence.cancelled = true;
         sequence.progress.notify_waiters();
     }
-    tables.retire(run);
+    tables.finish_sequence(run);
     true
 }
 
-/// Steps the batch for as long as the engine lives.
+/// Runs decode steps until the task is aborted.
 pub(super) async fn step_loop(engine: Arc<EngineState>) {
     loop {
         let batch = engine.tables.lock().active.len();
         if batch == 0 {
-            engine.work.notified().await;
+            engine.sequence_started.notified().await;
             continue;
         }
         tokio::time::sleep(Duration::from_micros(engine.cfg.step_us(batch))).await;
@@ -171,8 +175,8 @@
         let Some(sequence) = tables.sequences.get_mut(&run) else { continue };
         sequence.produced += 1;
         sequence.progress.notify_waiters();
-        if sequence.is_over() {
-            tables.retire(&run);
+        if sequence.is_finished() {
+            tables.finish_sequence(&run);
         }
     }
 }
--- a/crates/bulrushusher_standin/src/engine/messages.rs
+++ b/crates/bulrushusher_standin/src/engine/messages.rs
@@ -1,189 +1,193 @@
-//! The messages of the engine's protocol.
+//! Messages of the engine's protocol.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Order to compute the KV cache of a prompt.
+/// Request to compute the KV cache of a prompt.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct PrefillOrder {
-    /// Unique name of this run.
+pub struct PrefillRequest {
+    /// Unique ID of this run.
     pub run: String,
-    /// The request's key, for the counts.
+    /// The request key under which the run is counted.
     pub key: String,
     /// The prompt.
     pub prompt: String,
-    /// Lower goes first.
+    /// Scheduling priority; lower values run first.
     pub priority: u64,
 }
 
-/// What a prefill stream tells.
+/// Event of a prefill stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum PrefillEvent {
-    /// Still at it.
+    /// Keep-alive while the prefill is queued or running, or its result is held.
     Beat,
-    /// The result is held here, for a short time.
+    /// The KV cache is computed and held by this engine for a limited time.
     Done {
-        /// Name of the result.
+        /// Handle of the KV cache.
         kv: u64,
         /// Prompt tokens.
         tokens: usize,
-        /// Of these, tokens that the prefix cache had.
+        /// Prompt tokens found in the prefix cache.
         cached: usize,
-        /// Size of the KV cache.
+        /// Size of the KV cache, in bytes.
         bytes: u64,
     },
-    /// The result was exported; the stream ends.
+    /// The KV cache was exported; the stream ends.
     Exported,
-    /// The result was evicted before it was exported; the stream ends.
+    /// The KV cache was evicted before its export; the stream ends.
     Evicted,
 }
 
-/// Where a KV cache can be fetched.
+/// Location of a KV cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvSource {
-    /// The engine that holds it.
+    /// Address of the engine that holds it.
     pub engine: SocketAddr,
-    /// Its name there.
+    /// Its handle on that engine.
     pub kv: u64,
 }
 
-/// Asks for a KV cache.
+/// Request to export a KV cache.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct ExportOrder {
-    /// Name of the result.
+pub struct ExportRequest {
+    /// Handle of the KV cache.
     pub kv: u64,
 }
 
-/// A KV cache, as far as the stand-in goes.
+/// An exported KV cache. The stand-in transfers only the data that it needs to decode.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Exported {
-    /// The prompt's mark.
+pub struct ExportResponse {
+    /// The prompt's mark, from which the answer's tokens are derived.
     pub mark: String,
     /// Prompt tokens.
     pub tokens: usize,
 }
 
-/// Order to generate tokens.
+/// Request to generate tokens.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct DecodeOrder {
-    /// Unique name of this run.
+pub struct DecodeRequest {
+    /// Unique ID of this run.
     pub run: String,
-    /// The request's key, for the counts.
+    /// The request key under which the run is counted.
     pub key: String,
-    /// Where the KV cache is.
+    /// Location of the KV cache.
     pub kv: KvSource,
     /// Tokens to generate.
     pub max_tokens: usize,
 }
 
-/// Names a run.
+/// Identifies a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct RunName {
-    /// The run.
+pub struct RunId {
+    /// ID of the run.
     pub run: String,
 }
 
-/// Asks for the tokens of a run again.
+/// Request to stream the tokens of a run again.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ResumeOrder {
-    /// The run.
+pub struct ResumeRequest {
+    /// ID of the run.
     pub run: String,
-    /// The first token wanted.
+    /// Index of the first token to send.
     pub from: usize,
 }
 
-/// What a decode stream tells.
+/// Event of a decode stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum DecodeEvent {
-    /// Still at it.
+    /// Keep-alive while no token is produced.
     Beat,
-    /// Token `n`, counted from 0.
+    /// A generated token.
     Token {
-        /// Its place in the answer.
+        /// Index of the token in the answer, from 0.
         n: usize,
         /// Its text.
         text: String,
     },
-    /// All `tokens` were sent; the stream ends.
+    /// All tokens were sent; the stream ends.
     End {
-        /// Tokens in all.
+        /// Number of tokens generated.
         tokens: usize,
     },
     /// The run was cancelled; the stream ends.
     Cancelled,
 }
 
-/// Runs that hold engine memory now.
+/// Active runs: those that hold engine memory.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Runs {
-    /// Their names.
+pub struct RunList {
+    /// IDs of the runs.
     pub runs: Vec<String>,
 }
 
-/// Load as it was some time ago.
+/// Load of the engine at an earlier time; see [`EngineConfig::load_lag`].
+///
+/// [`EngineConfig::load_lag`]: super::EngineConfig::load_lag
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Sequences or prompts in work.
+    /// Sequences decoding and prompts prefilling.
     pub running: usize,
-    /// Prompts that wait.
+    /// Prompts queued for prefill.
     pub waiting: usize,
 }
 
-/// Asks for cache events after a number.
+/// Request for the cache events after a sequence number.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct EventsSince {
-    /// The last number seen; 0 for none.
+pub struct EventsRequest {
+    /// The last sequence number received; 0 for none.
     pub after: u64,
 }
 
-/// A change of the prefix cache. Numbers rise; gaps are lost events.
+/// A change of the prefix cache. Gaps in the sequence numbers are lost events.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Its number.
+    /// Sequence number.
     pub number: u64,
     /// The chained hash of the block.
     pub block: u64,
-    /// True when the block came, false when it went.
+    /// True if the block was stored, false if it was evicted.
     pub stored: bool,
 }
 
-/// Order to change the engine itself.
+/// Request to change the engine itself, protected by a fencing token.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct EngineOrder {
-    /// Fencing number of the one who orders.
+pub struct AdminRequest {
+    /// Fencing token of the sender.
     pub fence: u64,
-    /// What to do, such as `load_model rationale-2`.
+    /// The command, such as `load_model rationale-2`.
     pub what: String,
 }
 
-/// How often a key ran.
+/// Number of runs of a request key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunCount {
-    /// Prefills begun.
+    /// Prefills started.
     pub prefills: u64,
-    /// Decodes (or service calls) begun.
+    /// Decodes (or service calls) started.
     pub runs: u64,
 }
 
-/// The engine's own records.
+/// Counters kept by a stand-in engine or service; the oracle of the tests.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counts {
-    /// Per request key.
+    /// Runs per request key.
     pub keys: BTreeMap<String, RunCount>,
     /// Prompt tokens computed.
     pub prefilled_tokens: u64,
-    /// Of these, tokens whose result was discarded before use.
+    /// Prompt tokens computed whose result was discarded before use.
     pub wasted_tokens: u64,
-    /// Decode places held now.
+    /// Slots in use.
     pub held_places: usize,
-    /// Prefill results held now.
+    /// Prefill results held.
     pub held_kv: usize,
-    /// Orders taken, as "fence what".
+    /// Admin requests accepted, each as "fence what".
     pub orders: Vec<String>,
-    /// Times that it ended on a prompt.
+    /// Crashes caused by a prompt; see [`Faults::crashes_on`].
+    ///
+    /// [`Faults::crashes_on`]: super::Faults::crashes_on
     pub crashes: u64,
 }
--- a/crates/bulrushusher_standin/src/engine/mod.rs
+++ b/crates/bulrushusher_standin/src/engine/mod.rs
@@ -1,13 +1,21 @@
 //! A stand-in model engine: prefill and decode with KV export and import.
 //!
-//! Protocol, all HTTP/JSON, streams as one JSON message a line:
-//! - `POST /prefill` [`PrefillOrder`] → stream of [`PrefillEvent`]; closing the stream cancels it.
-//! - `POST /export` [`ExportOrder`] → [`Exported`], or 410 when the result is gone.
-//! - `POST /decode` [`DecodeOrder`] → stream of [`DecodeEvent`], 429 when every place is taken, 410
-//!   when the KV cache is gone. Closing the stream does *not* cancel it.
-//! - `POST /resume` [`ResumeOrder`] → stream of [`DecodeEvent`] from a token on, or 404.
-//! - `POST /cancel` [`RunName`]; `GET /requests`; `GET /load`; `POST /events`; `POST /order`.
-//! - `GET /counts` → [`Counts`], the oracle.
+//! Protocol: HTTP/JSON; streams are newline-delimited JSON.
+//! - `POST /prefill` [`PrefillRequest`] → stream of [`PrefillEvent`]. Closing the stream cancels the
+//!   prefill.
+//! - `POST /export` [`ExportRequest`] → [`ExportResponse`], or 410 if the KV cache is no longer held.
+//! - `POST /decode` [`DecodeRequest`] → stream of [`DecodeEvent`]; 409 if the run ID was used before,
+//!   410 if the KV cache is no longer held, 429 if all decode slots are in use. Closing the stream
+//!   does *not* cancel the run.
+//! - `POST /resume` [`ResumeRequest`] → stream of [`DecodeEvent`] from a given token, or 404 for an
+//!   unknown run.
+//! - `POST /cancel` [`RunId`] → whether an active run was cancelled.
+//! - `GET /requests` → [`RunList`], the active runs.
+//! - `GET /load` → [`LoadReport`].
+//! - `POST /events` [`EventsRequest`] → list of [`CacheEvent`].
+//! - `POST /order` [`AdminRequest`] → the highest fencing token accepted, or 409 with it if the
+//!   request's token is lower and fencing is on.
+//! - `GET /counts` → [`Counts`], the tests' oracle.
 
 mod cache;
 mod decode;
@@ -17,58 +25,59 @@
 mod state;
 
 pub use messages::{
-    CacheEvent, Counts, DecodeEvent, DecodeOrder, EngineOrder, EventsSince, ExportOrder, Exported,
-    KvSource, LoadReport, PrefillEvent, PrefillOrder, ResumeOrder, RunCount, RunName, Runs,
+    AdminRequest, CacheEvent, Counts, DecodeEvent, DecodeRequest, EventsRequest, ExportRequest,
+    ExportResponse, KvSource, LoadReport, PrefillEvent, PrefillRequest, ResumeRequest, RunCount,
+    RunId, RunList,
 };
 pub use server::Engine;
 pub use state::Faults;
 
 use bulrushusher_time::Millis;
 
-/// What a stand-in engine can do, and how fast.
+/// Capacity and timing of a stand-in engine.
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
-    /// Decode requests held at once.
-    pub places: usize,
-    /// Prompt tokens computed a second; prompts are computed one at a time.
+    /// Decode slots: the maximum batch size.
+    pub slots: usize,
+    /// Prefill rate, in prompt tokens per second. Prompts are computed one at a time.
     pub prefill_tokens_per_second: u64,
-    /// Fixed cost of a prefill.
+    /// Fixed time added to each prefill.
     pub prefill_base: Millis,
-    /// Time of a decode step with an empty batch, in microseconds.
+    /// Duration of a decode step with an empty batch, in microseconds.
     pub step_base_us: u64,
-    /// What each sequence adds to a step, in microseconds.
+    /// Time that each sequence adds to a step, in microseconds.
     pub step_per_sequence_us: u64,
-    /// Bytes of KV cache of one token.
+    /// KV cache size per token, in bytes.
     pub kv_bytes_per_token: u64,
-    /// Rate of the link that KV caches leave by.
+    /// Bandwidth of the link that exports KV caches, in bytes per second.
     pub link_bytes_per_second: u64,
-    /// How long a prefill result is held; it must have left by then.
-    pub kv_life: Millis,
-    /// Blocks in the prefix cache.
+    /// How long a prefill result is held; it is evicted unless exported by then.
+    pub kv_ttl: Millis,
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// How late cache events are published.
+    /// Delay before a cache event is published.
     pub event_delay: Millis,
-    /// Share of cache events that are never published, 0 to 1.
+    /// Probability that a cache event is never published, 0 to 1.
     pub event_loss: f64,
-    /// How old the reported load is.
+    /// Age of the reported load.
     pub load_lag: Millis,
-    /// Whether old fencing numbers are refused.
+    /// Whether admin requests with an outdated fencing token are rejected.
     pub checks_fencing: bool,
-    /// Seed of what is random here.
+    /// Seed of the random loss of cache events.
     pub seed: u64,
 }
 
 impl Default for EngineConfig {
     fn default() -> EngineConfig {
         EngineConfig {
-            places: 20,
+            slots: 20,
             prefill_tokens_per_second: 40_000,
             prefill_base: Millis(4),
             step_base_us: 12_000,
             step_per_sequence_us: 600,
             kv_bytes_per_token: 60_000,
             link_bytes_per_second: 5_000_000_000,
-            kv_life: Millis(800),
+            kv_ttl: Millis(800),
             cache_blocks: 512,
             event_delay: Millis(200),
             event_loss: 0.1,
@@ -80,7 +89,7 @@
 }
 
 impl EngineConfig {
-    /// Time to compute `tokens` prompt tokens.
+    /// Duration of a prefill that computes `tokens` prompt tokens.
     ///
     /// ```
     /// # use bulrushusher_standin::EngineConfig;
@@ -91,12 +100,12 @@
         Millis(tokens as u64 * 1000 / self.prefill_tokens_per_second.max(1)).plus(self.prefill_base)
     }
 
-    /// Time of one decode step with `batch` sequences, in microseconds.
+    /// Duration of one decode step with `batch` sequences, in microseconds.
     pub fn step_us(&self, batch: usize) -> u64 {
         self.step_base_us + self.step_per_sequence_us * batch as u64
     }
 
-    /// Time for the KV cache of `tokens` to leave by the idle link.
+    /// Time to export the KV cache of `tokens` over an idle link.
     pub fn transfer_time(&self, tokens: usize) -> Millis {
         let bytes = tokens as u64 * self.kv_bytes_per_token;
         Millis(bytes.saturating_mul(1000).div_ceil(self.link_bytes_per_second.max(1)))
--- a/crates/bulrushusher_standin/src/engine/server.rs
+++ b/crates/bulrushusher_standin/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! The engine's listener and handle.
+//! The engine's HTTP server and its handle.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,15 +13,15 @@
 use warp::Filter;
 use warp::reply::Response;
 
-use super::decode::{self, Refused};
+use super::decode::{self, DecodeRejection};
 use super::state::{EngineState, Faults};
 use super::{
-    Counts, DecodeOrder, EngineConfig, EngineOrder, EventsSince, ExportOrder, PrefillOrder,
-    ResumeOrder, RunName, Runs, prefill,
+    AdminRequest, Counts, DecodeRequest, EngineConfig, EventsRequest, ExportRequest,
+    PrefillRequest, ResumeRequest, RunId, RunList, prefill,
 };
 
 const STREAM_BUFFER: usize = 64;
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 const NDJSON: &str = "application/x-ndjson";
 
 #[derive(Clone)]
@@ -33,47 +33,47 @@
 /// A running stand-in engine.
 #[derive(Debug)]
 pub struct Engine {
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub addr: SocketAddr,
     state: Arc<EngineState>,
-    served: HttpServer,
+    server: HttpServer,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Engine {
-    /// Starts an engine on `addr`; port 0 takes any.
+    /// Starts an engine on `addr`; port 0 picks a free port.
     ///
     /// # Errors
-    /// What the system says, such as "address in use".
+    /// The I/O error of binding the listener, such as "address in use".
     pub fn start(addr: SocketAddr, cfg: EngineConfig) -> std::io::Result<Engine> {
         let state = Arc::new(EngineState::new(cfg));
         let shared = Shared { engine: Arc::clone(&state), client: HttpClient::new() };
-        let served = serve(addr, routes(shared))?;
+        let server = serve(addr, routes(shared))?;
         let tasks = vec![
             tokio::spawn(decode::step_loop(Arc::clone(&state))),
             tokio::spawn(tick_loop(Arc::clone(&state))),
         ];
-        Ok(Engine { addr: served.addr, state, served, tasks })
+        Ok(Engine { addr: server.addr, state, server, tasks })
     }
 
-    /// The engine's own records.
+    /// The engine's counters.
     pub fn counts(&self) -> Counts {
         self.state.counts()
     }
 
-    /// Its settings.
+    /// The engine's configuration.
     pub fn config(&self) -> &EngineConfig {
         &self.state.cfg
     }
 
-    /// Switches faults.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         self.state.tables.lock().faults = faults;
     }
 
-    /// Waits until told, then stops listening once the open streams have ended.
+    /// Stops the engine once the open streams have ended.
     pub async fn stop(self) {
-        self.served.stop().await;
+        self.server.stop().await;
         for task in &self.tasks {
             task.abort();
         }
@@ -82,7 +82,7 @@
 
 async fn tick_loop(engine: Arc<EngineState>) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         engine.tick();
     }
 }
@@ -102,7 +102,7 @@
         .unify()
         .or(post_route("events", shared.clone(), events))
         .unify()
-        .or(post_route("order", shared.clone(), order))
+        .or(post_route("order", shared.clone(), admin))
         .unify()
         .or(get_route("requests", shared.clone(), requests))
         .unify()
@@ -113,41 +113,47 @@
         .recover(reject_json)
 }
 
-async fn start_prefill(shared: Shared, order: PrefillOrder) -> Response {
+async fn start_prefill(shared: Shared, req: PrefillRequest) -> Response {
     let (tx, rx) = mpsc::channel(STREAM_BUFFER);
-    tokio::spawn(prefill::run(shared.engine, order, tx));
+    tokio::spawn(prefill::run(shared.engine, req, tx));
     stream_reply(rx, NDJSON)
 }
 
-async fn export(shared: Shared, order: ExportOrder) -> Response {
-    match prefill::export(shared.engine, order).await {
+async fn export(shared: Shared, req: ExportRequest) -> Response {
+    match prefill::export(shared.engine, req).await {
         Some(kv) => json_reply(&kv),
-        None => json_status(410, &"the KV cache is gone; prefill again"),
+        None => json_status(410, &"the KV cache is no longer held; repeat the prefill"),
     }
 }
 
-async fn start_decode(shared: Shared, order: DecodeOrder) -> Response {
-    // A task of its own: a caller that goes away must not leave a half-made place.
-    let begin = tokio::spawn(async move {
-        let begun = decode::begin(&shared.engine, &shared.client, &order).await;
-        (shared, order, begun)
+async fn start_decode(shared: Shared, req: DecodeRequest) -> Response {
+    // Runs in its own task, so that a client that disconnects doesn't abandon a half-started run.
+    let start = tokio::spawn(async move {
+        let started = decode::start(&shared.engine, &shared.client, &req).await;
+        (shared, req, started)
     });
-    let Ok((shared, order, begun)) = begin.await else {
-        return json_status(500, &"the engine failed");
+    let Ok((shared, req, started)) = start.await else {
+        return json_status(500, &"the engine failed to start the run");
     };
-    match begun {
-        Ok(()) => follow(shared, order.run, 0),
-        Err(Refused::Full) => json_status(429, &"every decode place is taken"),
-        Err(Refused::KvGone) => json_status(410, &"the KV cache is gone; prefill again"),
-        Err(Refused::SameRun) => json_status(409, &"this run was ordered before; resume it"),
+    match started {
+        Ok(()) => follow(shared, req.run, 0),
+        Err(DecodeRejection::NoFreeSlot) => {
+            json_status(429, &"all decode slots are in use; retry later")
+        }
+        Err(DecodeRejection::KvNotHeld) => {
+            json_status(410, &"the KV cache is no longer held; repeat the prefill")
+        }
+        Err(DecodeRejection::DuplicateRun) => {
+            json_status(409, &"this run ID was already used; resume the run")
+        }
     }
 }
 
-async fn resume(shared: Shared, order: ResumeOrder) -> Response {
-    let known = shared.engine.tables.lock().sequences.contains_key(&order.run);
-    match known {
-        true => follow(shared, order.run, order.from),
-        false => json_status(404, &"no such run"),
+async fn resume(shared: Shared, req: ResumeRequest) -> Response {
+    let exists = shared.engine.tables.lock().sequences.contains_key(&req.run);
+    match exists {
+        true => follow(shared, req.run, req.from),
+        false => json_status(404, &"unknown run; it is neither active nor kept for resuming"),
     }
 }
 
@@ -157,29 +163,29 @@
     stream_reply(rx, NDJSON)
 }
 
-async fn cancel(shared: Shared, run: RunName) -> Response {
+async fn cancel(shared: Shared, run: RunId) -> Response {
     json_reply(&decode::cancel(&shared.engine, &run.run))
 }
 
-async fn events(shared: Shared, since: EventsSince) -> Response {
+async fn events(shared: Shared, since: EventsRequest) -> Response {
     let now = shared.engine.clock.now();
     let events = shared.engine.tables.lock().cache.events(since.after, now);
     json_reply(&events)
 }
 
-async fn order(shared: Shared, order: EngineOrder) -> Response {
+async fn admin(shared: Shared, req: AdminRequest) -> Response {
     let mut tables = shared.engine.tables.lock();
-    if shared.engine.cfg.checks_fencing && order.fence < tables.highest_fence {
-        return json_status(409, &tables.highest_fence);
+    if shared.engine.cfg.checks_fencing && req.fence < tables.max_fence {
+        return json_status(409, &tables.max_fence);
     }
-    tables.highest_fence = tables.highest_fence.max(order.fence);
-    tables.orders.push(format!("{} {}", order.fence, order.what));
-    json_reply(&tables.highest_fence)
+    tables.max_fence = tables.max_fence.max(req.fence);
+    tables.orders.push(format!("{} {}", req.fence, req.what));
+    json_reply(&tables.max_fence)
 }
 
 async fn requests(shared: Shared) -> Response {
     let runs = shared.engine.tables.lock().active.iter().cloned().collect();
-    json_reply(&Runs { runs })
+    json_reply(&RunList { runs })
 }
 
 async fn load(shared: Shared) -> Response {
--- a/crates/bulrushusher_standin/src/engine/state.rs
+++ b/crates/bulrushusher_standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! The engine's tables, shared by its tasks under one lock.
+//! State of the engine, shared by its tasks under one lock.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -10,37 +10,38 @@
 use super::cache::PrefixCache;
 use super::{Counts, EngineConfig, LoadReport, RunCount};
 
-/// Finished runs kept so that their streams can be resumed.
+/// Finished runs that are kept so that their streams can be resumed.
 const MAX_FINISHED: usize = 4_096;
-/// Load samples kept.
+/// Load samples that are kept.
 const MAX_SAMPLES: usize = 256;
 
-/// Faults that a test switches on and off.
+/// Faults that a test can inject.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// KV transfers out of this engine stand still.
+    /// KV transfers out of this engine make no progress.
     pub stalled_link: bool,
-    /// Decode steps stand still.
+    /// Decoding makes no progress.
     pub frozen: bool,
-    /// The engine ends when it begins a prompt with this mark, and is back at once.
+    /// The engine crashes when it starts to decode a prompt with this mark, and restarts
+    /// immediately.
     pub crashes_on: Option<&'static str>,
 }
 
-/// What became of a prefill result.
+/// State of a prefill result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Fate {
+pub(super) enum KvState {
     Held,
     Exported,
     Evicted,
 }
 
 #[derive(Debug)]
-pub(super) struct KvResult {
+pub(super) struct PrefillResult {
     pub(super) mark: String,
     pub(super) tokens: usize,
     pub(super) computed: usize,
     pub(super) evict_at: Millis,
-    pub(super) fate: watch::Sender<Fate>,
+    pub(super) state: watch::Sender<KvState>,
 }
 
 #[derive(Debug)]
@@ -53,7 +54,7 @@
 }
 
 impl Sequence {
-    pub(super) fn is_over(&self) -> bool {
+    pub(super) fn is_finished(&self) -> bool {
         self.cancelled || self.produced >= self.max_tokens
     }
 }
@@ -63,32 +64,34 @@
     pub(super) keys: BTreeMap<String, RunCount>,
     pub(super) prefilled_tokens: u64,
     pub(super) wasted_tokens: u64,
-    pub(super) kv: HashMap<u64, KvResult>,
+    pub(super) kv: HashMap<u64, PrefillResult>,
     pub(super) next_kv: u64,
     pub(super) link_free_at: Millis,
-    pub(super) places_taken: usize,
+    pub(super) slots_used: usize,
     pub(super) sequences: HashMap<String, Sequence>,
     pub(super) active: BTreeSet<String>,
     pub(super) finished: VecDeque<String>,
-    pub(super) prefills_waiting: BTreeSet<(u64, u64)>,
+    pub(super) queued_prefills: BTreeSet<(u64, u64)>,
     pub(super) prefill_running: bool,
-    pub(super) next_turn: u64,
+    pub(super) next_ticket: u64,
     pub(super) cache: PrefixCache,
     pub(super) samples: VecDeque<(Millis, LoadReport)>,
     pub(super) faults: Faults,
-    pub(super) highest_fence: u64,
+    pub(super) max_fence: u64,
     pub(super) orders: Vec<String>,
     pub(super) crashes: u64,
 }
 
-/// The engine.
+/// Configuration and state of an engine.
 #[derive(Debug)]
 pub(super) struct EngineState {
     pub(super) cfg: EngineConfig,
     pub(super) clock: Clock,
     pub(super) tables: Mutex<Tables>,
-    pub(super) work: Notify,
-    pub(super) turn: Notify,
+    /// Notified when a sequence starts.
+    pub(super) sequence_started: Notify,
+    /// Notified when the prefill queue changes.
+    pub(super) prefill_queue_changed: Notify,
 }
 
 impl EngineState {
@@ -100,17 +103,17 @@
             kv: HashMap::new(),
             next_kv: 1,
             link_free_at: Millis(0),
-            places_taken: 0,
+            slots_used: 0,
             sequences: HashMap::new(),
             active: BTreeSet::new(),
             finished: VecDeque::new(),
-            prefills_waiting: BTreeSet::new(),
+            queued_prefills: BTreeSet::new(),
             prefill_running: false,
-            next_turn: 0,
+            next_ticket: 0,
             cache: PrefixCache::new(&cfg),
             samples: VecDeque::new(),
             faults: Faults::default(),
-            highest_fence: 0,
+            max_fence: 0,
             orders: Vec::new(),
             crashes: 0,
         };
@@ -118,8 +121,8 @@
             cfg,
             clock: Clock::system(),
             tables: Mutex::new(tables),
-            work: Notify::new(),
-            turn: Notify::new(),
+            sequence_started: Notify::new(),
+            prefill_queue_changed: Notify::new(),
         }
     }
 
@@ -129,56 +132,56 @@
             keys: tables.keys.clone(),
             prefilled_tokens: tables.prefilled_tokens,
             wasted_tokens: tables.wasted_tokens,
-            held_places: tables.places_taken,
+            held_places: tables.slots_used,
             held_kv: tables.kv.len(),
             orders: tables.orders.clone(),
             crashes: tables.crashes,
         }
     }
 
-    /// The load as it was reported, `load_lag` ago.
+    /// The most recent load sample that is at least `load_lag` old.
     pub(super) fn lagged_load(&self) -> LoadReport {
         let now = self.clock.now();
         let tables = self.tables.lock();
-        let old = tables.samples.iter().rev().find(|(at, _)| at.plus(self.cfg.load_lag) <= now);
-        old.map(|(_, load)| *load).unwrap_or_default()
+        let sample = tables.samples.iter().rev().find(|(at, _)| at.plus(self.cfg.load_lag) <= now);
+        sample.map(|(_, load)| *load).unwrap_or_default()
     }
 
-    /// Takes a load sample and evicts results whose time is over.
+    /// Takes a load sample and evicts expired prefill results.
     pub(super) fn tick(&self) {
         let now = self.clock.now();
         let mut tables = self.tables.lock();
         let load = LoadReport {
-            running: tables.places_taken + usize::from(tables.prefill_running),
-            waiting: tables.prefills_waiting.len(),
+            running: tables.slots_used + usize::from(tables.prefill_running),
+            waiting: tables.queued_prefills.len(),
         };
         tables.samples.push_back((now, load));
         if tables.samples.len() > MAX_SAMPLES {
             tables.samples.pop_front();
         }
-        let old: Vec<u64> =
+        let expired: Vec<u64> =
             tables.kv.iter().filter(|(_, kv)| kv.evict_at <= now).map(|(id, _)| *id).collect();
-        for id in old {
+        for id in expired {
             tables.discard_kv(id);
         }
     }
 }
 
 impl Tables {
-    /// Frees a result that nobody used.
+    /// Evicts a prefill result and counts its computed tokens as wasted.
     pub(super) fn discard_kv(&mut self, id: u64) {
         if let Some(kv) = self.kv.remove(&id) {
             self.wasted_tokens += kv.computed as u64;
-            kv.fate.send(Fate::Evicted).ok();
+            kv.state.send(KvState::Evicted).ok();
         }
     }
 
-    /// The engine ends and starts again: it knows nothing of its runs any more.
+    /// Simulates a crash and restart: all decode runs are lost.
     pub(super) fn crash(&mut self) {
         self.crashes += 1;
         for run in std::mem::take(&mut self.active) {
-            self.places_taken -= 1;
-            log::info!("standin: run {run} ends with its engine");
+            self.slots_used -= 1;
+            log::info!("standin: run {run} lost in a simulated engine crash");
         }
         self.finished.clear();
         for (_, sequence) in self.sequences.drain() {
@@ -186,12 +189,12 @@
         }
     }
 
-    /// Frees the place of a sequence that is over, and remembers it for resumes.
-    pub(super) fn retire(&mut self, run: &str) {
+    /// Frees the slot of a finished or cancelled sequence and keeps its tokens for resumes.
+    pub(super) fn finish_sequence(&mut self, run: &str) {
         if !self.active.remove(run) {
             return;
         }
-        self.places_taken -= 1;
+        self.slots_used -= 1;
         self.finished.push_back(run.to_owned());
         if self.finished.len() > MAX_FINISHED
             && let Some(oldest) = self.finished.pop_front()
--- a/crates/bulrushusher_standin/src/lib.rs
+++ b/crates/bulrushusher_standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for what surrounds the router, and a load tool.
+//! Test doubles for the systems around the router, and a load generator.
 //!
-//! The engine, the plain service, the store and the VM list speak small published protocols over
-//! HTTP/JSON. The engine and the service keep their own count of runs per request key, independent
-//! of the router's code: that count is the oracle of the tests.
+//! The engine, the plain service and the store implement small documented protocols over
+//! HTTP/JSON. The engine and the service count the runs of each request key independently of the
+//! router's code; tests use these counts as their oracle.
 
 pub mod caller;
 pub mod engine;
--- a/crates/bulrushusher_standin/src/load.rs
+++ b/crates/bulrushusher_standin/src/load.rs
@@ -1,32 +1,33 @@
-//! An open-loop, seeded load: requests come at their times whether or not earlier ones are done.
+//! A seeded open-loop load generator: requests are sent on schedule, whether or not earlier ones
+//! have completed.
 
 use bulrushusher_time::Millis;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use uuid::Uuid;
 
-use crate::caller::{Ask, Call};
+use crate::caller::{Request, RequestKind};
 use crate::prompt::{BLOCK_TOKENS, BYTES_PER_TOKEN};
 
-/// What a kind of request asks for.
+/// Kind of requests in a flow, and the distribution of their sizes.
 #[derive(Clone, Debug)]
-pub enum Kind {
-    /// Prompts of a model.
+pub enum FlowKind {
+    /// Prompts for a model.
     Prompts {
-        /// The model.
+        /// Name of the model.
         model: String,
-        /// Prompt tokens, uniformly from this range.
+        /// Range of the prompt length in tokens, uniform and inclusive.
         prompt_tokens: (usize, usize),
-        /// Answer tokens, uniformly from this range.
+        /// Range of the answer length in tokens, uniform and inclusive.
         answer_tokens: (usize, usize),
-        /// Whole blocks at the start that prompts of one account share.
+        /// Length of the prefix shared by the prompts of an account, in prefix-cache blocks.
         shared_blocks: usize,
     },
     /// Calls of a plain service.
     Calls {
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// Path at the service.
+        /// Path of the calls at the service.
         path: String,
     },
 }
@@ -34,43 +35,43 @@
 /// A stream of requests of one kind and class.
 #[derive(Clone, Debug)]
 pub struct Flow {
-    /// Its class.
+    /// Deliverable class of the requests.
     pub class: String,
-    /// What its requests ask for.
-    pub kind: Kind,
-    /// Whether a request may run more than once; requests that may not carry a key.
+    /// Kind of the requests.
+    pub kind: FlowKind,
+    /// Whether a request may run more than once. Requests that must not carry an idempotency key.
     pub idempotent: bool,
-    /// Requests a second, Poisson.
+    /// Mean request rate per second; arrivals are a Poisson process.
     pub rate: f64,
-    /// Client accounts that send, evenly.
+    /// Number of client accounts among which the requests are distributed uniformly.
     pub accounts: usize,
 }
 
-/// A request and when it is to be sent.
+/// A request and the time at which to send it.
 #[derive(Clone, Debug)]
-pub struct Planned {
-    /// Time from the start of the run.
+pub struct ScheduledRequest {
+    /// Time since the start of the load.
     pub at: Millis,
-    /// Which flow it belongs to.
+    /// Index of the request's flow.
     pub flow: usize,
     /// The request.
-    pub call: Call,
+    pub request: Request,
 }
 
-/// Plans the requests of all flows over `length`, in the order of their times. The same seed gives
-/// the same plan, but for the time in the keys.
+/// Schedules the requests of all flows over `duration`, sorted by time. The same seed gives the same
+/// schedule, except for the request keys.
 ///
 /// ```
-/// use bulrushusher_standin::load::{Flow, Kind, plan};
+/// use bulrushusher_standin::load::{Flow, FlowKind, schedule};
 /// use bulrushusher_time::Millis;
-/// let kind = Kind::Calls { service: "pass-desk".into(), path: "lookup".into() };
+/// let kind = FlowKind::Calls { service: "pass-desk".into(), path: "lookup".into() };
 /// let flow = Flow { class: "lookup".into(), kind, idempotent: false, rate: 50.0, accounts: 4 };
-/// let planned = plan(&[flow], Millis(2_000), 7);
-/// assert!(planned.len() > 50 && planned.len() < 150);
-/// assert!(planned.iter().all(|p| p.call.key.is_some()));
+/// let scheduled = schedule(&[flow], Millis(2_000), 7);
+/// assert!(scheduled.len() > 50 && scheduled.len() < 150);
+/// assert!(scheduled.iter().all(|s| s.request.key.is_some()));
 /// ```
-pub fn plan(flows: &[Flow], length: Millis, seed: u64) -> Vec<Planned> {
-    let mut planned: Vec<Planned> = Vec::new();
+pub fn schedule(flows: &[Flow], duration: Millis, seed: u64) -> Vec<ScheduledRequest> {
+    let mut scheduled: Vec<ScheduledRequest> = Vec::new();
     for (number, flow) in flows.iter().enumerate() {
         let mut rng =
             ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000).wrapping_add(number as u64));
@@ -78,18 +79,20 @@
         loop {
             at_ms += exponential(&mut rng, flow.rate) * 1000.0;
             let at = Millis(at_ms as u64);
-            if at >= length || flow.rate <= 0.0 {
+            if at >= duration || flow.rate <= 0.0 {
                 break;
             }
-            let mark = format!("{}-{number}-{}", seed, planned.len());
-            planned.push(Planned { at, flow: number, call: make(flow, mark, &mut rng) });
+            let mark = format!("{}-{number}-{}", seed, scheduled.len());
+            let request = generate(flow, mark, &mut rng);
+            scheduled.push(ScheduledRequest { at, flow: number, request });
         }
     }
-    planned.sort_by_key(|request| request.at);
-    planned
+    scheduled.sort_by_key(|request| request.at);
+    scheduled
 }
 
-/// Gives a request its key; called when it is sent, as the key carries the time.
+/// Generates a request key. Keys contain their creation time, so a key should be generated when its
+/// request is sent.
 pub fn fresh_key() -> String {
     Uuid::now_v7().to_string()
 }
@@ -99,21 +102,23 @@
     -u.ln() / rate.max(f64::MIN_POSITIVE)
 }
 
-fn make(flow: &Flow, mark: String, rng: &mut ChaCha8Rng) -> Call {
+fn generate(flow: &Flow, mark: String, rng: &mut ChaCha8Rng) -> Request {
     let account = rng.random_range(0..flow.accounts.max(1));
-    let ask = match &flow.kind {
-        Kind::Calls { service, path } => Ask::Call { service: service.clone(), path: path.clone() },
-        Kind::Prompts { model, prompt_tokens, answer_tokens, shared_blocks } => {
+    let kind = match &flow.kind {
+        FlowKind::Calls { service, path } => {
+            RequestKind::Call { service: service.clone(), path: path.clone() }
+        }
+        FlowKind::Prompts { model, prompt_tokens, answer_tokens, shared_blocks } => {
             let tokens = rng.random_range(prompt_tokens.0..=prompt_tokens.1);
-            Ask::Prompt {
+            RequestKind::Prompt {
                 model: model.clone(),
                 prompt: prompt_text(account, tokens, *shared_blocks, &mark),
                 max_tokens: rng.random_range(answer_tokens.0..=answer_tokens.1),
             }
         }
     };
-    Call {
-        ask,
+    Request {
+        kind,
         mark,
         key: (!flow.idempotent).then(fresh_key),
         class: Some(flow.class.clone()),
@@ -122,17 +127,18 @@
     }
 }
 
-/// A prompt of `tokens` whose first blocks are the same for one account, with the mark at its end.
+/// Builds a prompt of `tokens` tokens that starts with the account's shared blocks and ends with the
+/// mark.
 fn prompt_text(account: usize, tokens: usize, shared_blocks: usize, mark: &str) -> String {
-    let length = tokens * BYTES_PER_TOKEN;
-    let shared = shared_blocks * BLOCK_TOKENS * BYTES_PER_TOKEN;
-    let mut text = format!("house style of account {account}. ").repeat(shared / 20 + 1);
-    text.truncate(shared.min(length));
-    let own = format!("brief {mark}. ");
-    while text.len() + mark.len() + 1 < length {
-        text.push_str(&own);
+    let bytes = tokens * BYTES_PER_TOKEN;
+    let shared_bytes = shared_blocks * BLOCK_TOKENS * BYTES_PER_TOKEN;
+    let mut text = format!("house style of account {account}. ").repeat(shared_bytes / 20 + 1);
+    text.truncate(shared_bytes.min(bytes));
+    let filler = format!("brief {mark}. ");
+    while text.len() + mark.len() + 1 < bytes {
+        text.push_str(&filler);
     }
-    text.truncate(length.saturating_sub(mark.len() + 1));
+    text.truncate(bytes.saturating_sub(mark.len() + 1));
     text.push('#');
     text.push_str(mark);
     text
--- a/crates/bulrushusher_standin/src/main.rs
+++ b/crates/bulrushusher_standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `bulrush-standin`: stand-ins for the platform, and an open-loop load.
+//! `bulrush-standin`: runs the stand-ins, or sends an open-loop load to entries.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use bulrushusher_config::{EXIT_BAD_SETTINGS, init_logs};
 use bulrushusher_report::{ClassFigures, Targets};
 use bulrushusher_standin::caller::{Caller, Outcome};
-use bulrushusher_standin::load::{Flow, Kind, plan};
+use bulrushusher_standin::load::{Flow, FlowKind, ScheduledRequest, fresh_key, schedule};
 use bulrushusher_standin::settings::{PROGRAM, StandinConfig};
 use bulrushusher_standin::{Engine, PlainService, Store};
 use bulrushusher_time::Millis;
@@ -29,13 +29,16 @@
         .action(clap::ArgAction::Append)
         .value_parser(value_parser!(SocketAddr));
     Command::new("load")
-        .about("Sends an open-loop, seeded load of prompts and prints what came of it")
-        .arg(entry.help("Callers' address of an entry; may be repeated"))
-        .arg(text("model", "rationale-llm", "Model to ask"))
-        .arg(text("class", "rationale", "Deliverable class"))
-        .arg(text("rate", "5", "Requests a second").value_parser(value_parser!(f64)))
-        .arg(text("seconds", "5", "Length of the load").value_parser(value_parser!(u64)))
-        .arg(text("seed", "1", "Seed of the load").value_parser(value_parser!(u64)))
+        .about("Sends a seeded open-loop load of prompts and prints a summary of the outcomes")
+        .arg(entry.help("Caller address of an entry; may be repeated"))
+        .arg(text("model", "rationale-llm", "Model of the requests"))
+        .arg(text("class", "rationale", "Deliverable class of the requests"))
+        .arg(text("rate", "5", "Requests per second").value_parser(value_parser!(f64)))
+        .arg(
+            text("seconds", "5", "Duration of the load, in seconds")
+                .value_parser(value_parser!(u64)),
+        )
+        .arg(text("seed", "1", "Seed of the schedule").value_parser(value_parser!(u64)))
 }
 
 fn main() -> std::io::Result<()> {
@@ -51,7 +54,7 @@
         Some(("run", matches)) => {
             let cfg = PROGRAM.configure_from(matches, StandinConfig::from_values);
             init_logs();
-            runtime.block_on(stand_in(cfg))
+            runtime.block_on(run_standins(cfg))
         }
         Some(("load", matches)) => {
             let lost = runtime.block_on(load(matches));
@@ -61,11 +64,11 @@
     }
 }
 
-async fn stand_in(cfg: StandinConfig) -> std::io::Result<()> {
+async fn run_standins(cfg: StandinConfig) -> std::io::Result<()> {
     let store = Store::start(cfg.store)?;
-    let prefill = Engine::start(cfg.prefill, cfg.engine.clone())?;
-    let decode = Engine::start(cfg.decode, cfg.engine)?;
-    let service = PlainService::start(cfg.service, cfg.plain)?;
+    let prefill = Engine::start(cfg.prefill, cfg.engine_config.clone())?;
+    let decode = Engine::start(cfg.decode, cfg.engine_config)?;
+    let service = PlainService::start(cfg.service, cfg.service_config)?;
     log::info!("standin: store on {}, prefill engine on {}", store.addr, prefill.addr);
     log::info!("standin: decode engine on {}, service on {}", decode.addr, service.addr);
     bulrushusher_http::shutdown_signal().await?;
@@ -74,14 +77,14 @@
     Ok(())
 }
 
-/// Sends the load; returns how many requests were lost or crossed.
+/// Sends the load and returns the number of requests with a lost, duplicated or crossed answer.
 async fn load(matches: &ArgMatches) -> u64 {
     let text = |name: &str| matches.get_one::<String>(name).cloned().unwrap_or_default();
     let entries: Vec<SocketAddr> = matches.get_many("entry").unwrap_or_default().copied().collect();
     let seconds = matches.get_one::<u64>("seconds").copied().unwrap_or(1);
     let flow = Flow {
         class: text("class"),
-        kind: Kind::Prompts {
+        kind: FlowKind::Prompts {
             model: text("model"),
             prompt_tokens: (500, 3_000),
             answer_tokens: (20, 60),
@@ -96,16 +99,16 @@
     let lost = Arc::new(AtomicU64::new(0));
     let caller = Caller::new(entries);
     let start = Instant::now();
-    let mut open = JoinSet::new();
+    let mut in_flight = JoinSet::new();
     let seed = matches.get_one::<u64>("seed").copied().unwrap_or(1);
-    for (number, mut request) in plan(&[flow], Millis(seconds * 1000), seed).into_iter().enumerate()
-    {
-        sleep_until(start + request.at.duration()).await;
-        request.call.key = request.call.key.map(|_| bulrushusher_standin::load::fresh_key());
-        request.call.account = None;
+    let scheduled = schedule(&[flow], Millis(seconds * 1000), seed);
+    for (number, ScheduledRequest { at, mut request, .. }) in scheduled.into_iter().enumerate() {
+        sleep_until(start + at.duration()).await;
+        request.key = request.key.map(|_| fresh_key());
+        request.account = None;
         let (caller, figures, lost) = (caller.clone(), Arc::clone(&figures), Arc::clone(&lost));
-        open.spawn(async move {
-            let outcome = caller.send(&request.call, number).await;
+        in_flight.spawn(async move {
+            let outcome = caller.send(&request, number).await;
             figures.lock().accepted();
             match outcome {
                 Outcome::Answered { ttft, per_token_ms } => {
@@ -120,7 +123,7 @@
             }
         });
     }
-    while open.join_next().await.is_some() {}
+    while in_flight.join_next().await.is_some() {}
     let report = figures.lock().report(seconds as f64);
     println!(
         "accepted {}, answered {}, goodput {:.1}/s, TTFT p50 {:.0} ms p95 {:.0} ms, \
--- a/crates/bulrushusher_standin/src/prompt.rs
+++ b/crates/bulrushusher_standin/src/prompt.rs
@@ -1,13 +1,14 @@
-//! How the stand-ins read a prompt: its tokens, its blocks and its mark.
+//! The stand-ins' tokenization of prompts, prefix-cache blocks, and the mark that identifies an
+//! answer.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bytes of text in one token.
+/// Bytes of text per token.
 pub const BYTES_PER_TOKEN: usize = 4;
-/// Tokens in one block of the prefix cache.
+/// Tokens per block of the prefix cache.
 pub const BLOCK_TOKENS: usize = 256;
 
-/// Tokens in a prompt.
+/// Number of tokens in a prompt, rounded up.
 ///
 /// ```
 /// assert_eq!(bulrushusher_standin::prompt::tokens("12345678"), 2);
@@ -16,19 +17,19 @@
     prompt.len().div_ceil(BYTES_PER_TOKEN)
 }
 
-/// The chained hashes of the whole blocks of a prompt: block `n`'s covers blocks 0 to `n`.
+/// Chained hashes of the full blocks of a prompt: hash `n` covers blocks 0 to `n`.
 pub fn blocks(prompt: &str) -> Vec<u64> {
     let mut chain = 0;
-    let whole = prompt.as_bytes().chunks_exact(BLOCK_TOKENS * BYTES_PER_TOKEN);
-    whole
-        .map(|block| {
-            chain = xxh3_64_with_seed(block, chain);
-            chain
-        })
-        .collect()
+    let full = prompt.as_bytes().chunks_exact(BLOCK_TOKENS * BYTES_PER_TOKEN);
+    full.map(|block| {
+        chain = xxh3_64_with_seed(block, chain);
+        chain
+    })
+    .collect()
 }
 
-/// The mark that the caller put behind the last `#` of a text, so that it can tell its own answer.
+/// The word after the last `#` of a text, by which a caller recognises the answer to its own
+/// request.
 ///
 /// ```
 /// assert_eq!(bulrushusher_standin::prompt::mark("write a rationale #r7"), "r7");
@@ -41,12 +42,12 @@
     }
 }
 
-/// Token `n` of the answer to the request marked `mark`.
+/// Token `n` of the answer to the request with this mark.
 pub fn token(mark: &str, n: usize) -> String {
     format!("{mark}.{n} ")
 }
 
-/// The whole answer of `count` tokens.
+/// The complete answer of `count` tokens to the request with this mark.
 pub fn answer(mark: &str, count: usize) -> String {
     (0..count).map(|n| token(mark, n)).collect()
 }
--- a/crates/bulrushusher_standin/src/relay.rs
+++ b/crates/bulrushusher_standin/src/relay.rs
@@ -1,5 +1,5 @@
-//! A TCP relay that misbehaves on demand: open connections go silent, lose one direction or are
-//! closed while new ones work, and all that is carried can be delayed.
+//! A TCP proxy for fault injection: it can blackhole open connections in one or both directions,
+//! close them, and delay the data of all connections. Connections opened afterwards work.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,22 +14,22 @@
 use tokio::task::JoinSet;
 
 const BUFFER: usize = 16 * 1024;
-/// Pause after a connection could not be accepted, such as for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the next accept after a failed one, such as when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What happens to the connections that are open.
+/// A fault that affects the connections that are open when it is injected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RelayFault {
-    /// Nothing is carried any more, in both directions, and nothing is closed.
+    /// Data is no longer forwarded in either direction, and the connections stay open.
     #[default]
     Silence,
-    /// What the target sends is not carried any more; the other direction works.
+    /// Data from the target is no longer forwarded; the other direction works.
     SilenceAnswers,
-    /// They are closed.
+    /// The connections are closed.
     Close,
 }
 
-/// Direction in which bytes are carried.
+/// Direction in which a task forwards data.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
     ToTarget,
@@ -39,7 +39,7 @@
 /// A running relay in front of `target`.
 #[derive(Debug)]
 pub struct Relay {
-    /// Where it listens.
+    /// Address on which the relay listens.
     pub addr: SocketAddr,
     fault: Arc<watch::Sender<RelayFault>>,
     delay_ms: Arc<AtomicU64>,
@@ -47,10 +47,10 @@
 }
 
 impl Relay {
-    /// Starts a relay on `addr` (port 0 takes any) in front of `target`.
+    /// Starts a relay on `addr` (port 0 picks a free port) in front of `target`.
     ///
     /// # Errors
-    /// What the system says, such as "address in use".
+    /// The I/O error of binding the listener, such as "address in use".
     pub fn start(addr: SocketAddr, target: SocketAddr) -> std::io::Result<Relay> {
         let listener = bind(addr)?;
         let addr = listener.local_addr()?;
@@ -58,36 +58,40 @@
         let delay_ms = Arc::new(AtomicU64::new(0));
         let (faults, delay) = (Arc::clone(&fault), Arc::clone(&delay_ms));
         let task = tokio::spawn(async move {
-            // Dropped with this task, and every connection with it.
-            let mut open = JoinSet::new();
+            // Dropping the set with this task aborts every connection.
+            let mut connections = JoinSet::new();
             loop {
                 match listener.accept().await {
                     Ok((near, _)) => {
                         near.set_nodelay(true).ok();
-                        open.spawn(carry(near, target, faults.subscribe(), Arc::clone(&delay)));
+                        let fault = faults.subscribe();
+                        connections.spawn(forward(near, target, fault, Arc::clone(&delay)));
                     }
                     Err(e) => {
-                        log::error!("standin: relay to {target} cannot accept: {e}");
-                        tokio::time::sleep(ACCEPT_PAUSE).await;
+                        log::error!(
+                            "standin: relay to {target} cannot accept a connection, retrying: {e}"
+                        );
+                        tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 }
-                while open.try_join_next().is_some() {}
+                while connections.try_join_next().is_some() {}
             }
         });
         Ok(Relay { addr, fault, delay_ms, task })
     }
 
-    /// Every connection open now goes silent for good, in both directions, without being closed.
-    pub fn silence_open_connections(&self) {
-        self.harm_open_connections(RelayFault::Silence);
+    /// Permanently stops forwarding on every open connection, in both directions, without closing
+    /// it. Later connections work.
+    pub fn blackhole_open_connections(&self) {
+        self.inject_fault(RelayFault::Silence);
     }
 
-    /// Harms every connection that is open now; later ones work.
-    pub fn harm_open_connections(&self, fault: RelayFault) {
+    /// Injects a fault into every open connection; later connections work.
+    pub fn inject_fault(&self, fault: RelayFault) {
         self.fault.send_replace(fault);
     }
 
-    /// Carries everything that much later from now on.
+    /// Delays each chunk of data by `delay` from now on.
     pub fn set_delay(&self, delay: Duration) {
         let ms = u64::try_from(delay.as_millis()).unwrap_or(u64::MAX);
         self.delay_ms.store(ms, Ordering::Relaxed);
@@ -100,7 +104,7 @@
     }
 }
 
-async fn carry(
+async fn forward(
     near: TcpStream,
     target: SocketAddr,
     fault: watch::Receiver<RelayFault>,
@@ -109,12 +113,13 @@
     let Ok(far) = connect_nodelay(target).await else { return };
     let (near_rx, near_tx) = near.into_split();
     let (far_rx, far_tx) = far.into_split();
-    let there = copy(near_rx, far_tx, Direction::ToTarget, fault.clone(), &delay);
-    let back = copy(far_rx, near_tx, Direction::FromTarget, fault, &delay);
-    tokio::join!(there, back);
+    let to_target = copy(near_rx, far_tx, Direction::ToTarget, fault.clone(), &delay);
+    let from_target = copy(far_rx, near_tx, Direction::FromTarget, fault, &delay);
+    tokio::join!(to_target, from_target);
 }
 
-/// Copies until the end or until a fault; a silent direction holds its ends open without reading.
+/// Copies until end of stream or a fault. A blackholed direction keeps both sockets open without
+/// reading.
 async fn copy(
     mut rx: OwnedReadHalf,
     mut tx: OwnedWriteHalf,
@@ -126,8 +131,8 @@
     loop {
         let len = tokio::select! {
             Ok(()) = fault.changed() => {
-                let struck = *fault.borrow_and_update();
-                match (struck, direction) {
+                let injected = *fault.borrow_and_update();
+                match (injected, direction) {
                     (RelayFault::Close, _) => return,
                     (RelayFault::SilenceAnswers, Direction::ToTarget) => continue,
                     (RelayFault::Silence | RelayFault::SilenceAnswers, _) => break,
--- a/crates/bulrushusher_standin/src/service.rs
+++ b/crates/bulrushusher_standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in plain service: answers any call after a fixed time and counts the runs per key.
+//! A stand-in plain service: answers every call after a fixed time and counts runs per request key.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -19,30 +19,30 @@
 use crate::engine::{Counts, RunCount};
 use crate::prompt;
 
-/// The header that carries the request's key.
+/// Header that carries the request key.
 pub const KEY_HEADER: &str = "x-request-key";
 
-/// How a stand-in service behaves.
+/// Capacity and timing of a stand-in service.
 #[derive(Clone, Debug)]
 pub struct ServiceConfig {
-    /// Time of one call.
-    pub call_time: Millis,
-    /// Calls in work at once; more wait.
-    pub places: usize,
+    /// Duration of one call.
+    pub call_duration: Millis,
+    /// Maximum number of concurrent calls; further calls are queued.
+    pub slots: usize,
 }
 
 impl Default for ServiceConfig {
     fn default() -> ServiceConfig {
-        ServiceConfig { call_time: Millis(20), places: 8 }
+        ServiceConfig { call_duration: Millis(20), slots: 8 }
     }
 }
 
-/// What the service answers.
+/// Body of an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceAnswer {
-    /// The mark found in the call.
+    /// The mark found in the call's body or query.
     pub mark: String,
-    /// The path that was called.
+    /// Path of the call.
     pub path: String,
 }
 
@@ -50,80 +50,80 @@
 struct ServiceState {
     cfg: ServiceConfig,
     keys: Mutex<BTreeMap<String, RunCount>>,
-    places: tokio::sync::Semaphore,
-    refuses: Mutex<Refuses>,
+    slots: tokio::sync::Semaphore,
+    backoff: Mutex<Backoff>,
 }
 
-/// Calls that a service refuses, with the time until which it wants none.
+/// Rejection of all calls until a given time, and the number of calls rejected.
 #[derive(Debug, Default)]
-struct Refuses {
+struct Backoff {
     until: Option<Instant>,
-    refused: usize,
+    rejected: usize,
 }
 
 /// A running stand-in service.
 #[derive(Debug)]
 pub struct PlainService {
-    /// Where it listens.
+    /// Address on which the service listens.
     pub addr: SocketAddr,
     state: Arc<ServiceState>,
-    served: HttpServer,
+    server: HttpServer,
 }
 
 impl PlainService {
-    /// Starts a service on `addr`; port 0 takes any.
+    /// Starts a service on `addr`; port 0 picks a free port.
     ///
     /// # Errors
-    /// What the system says, such as "address in use".
+    /// The I/O error of binding the listener, such as "address in use".
     pub fn start(addr: SocketAddr, cfg: ServiceConfig) -> std::io::Result<PlainService> {
-        let places = tokio::sync::Semaphore::new(cfg.places);
+        let slots = tokio::sync::Semaphore::new(cfg.slots);
         let state = Arc::new(ServiceState {
             cfg,
             keys: Mutex::default(),
-            places,
-            refuses: Mutex::default(),
+            slots,
+            backoff: Mutex::default(),
         });
-        let served = serve(addr, routes(Arc::clone(&state)))?;
-        Ok(PlainService { addr: served.addr, state, served })
+        let server = serve(addr, routes(Arc::clone(&state)))?;
+        Ok(PlainService { addr: server.addr, state, server })
     }
 
-    /// The service's own records.
+    /// The service's counters.
     pub fn counts(&self) -> Counts {
         self.state.counts()
     }
 
-    /// Refuses all calls for that long, and says so.
-    pub fn refuse_for(&self, length: Duration) {
-        self.state.refuses.lock().until = Some(Instant::now() + length);
+    /// Rejects all calls for `duration`, with status 503 and a `retry-after` header.
+    pub fn reject_for(&self, duration: Duration) {
+        self.state.backoff.lock().until = Some(Instant::now() + duration);
     }
 
-    /// Calls that it refused.
-    pub fn refused(&self) -> usize {
-        self.state.refuses.lock().refused
+    /// Number of calls rejected.
+    pub fn rejected_calls(&self) -> usize {
+        self.state.backoff.lock().rejected
     }
 
-    /// Its settings.
+    /// The service's configuration.
     pub fn config(&self) -> &ServiceConfig {
         &self.state.cfg
     }
 
-    /// Stops listening once the open calls have ended.
+    /// Stops the service once the open calls have ended.
     pub async fn stop(self) {
-        self.served.stop().await;
+        self.server.stop().await;
     }
 }
 
 impl ServiceState {
-    /// How long a call is refused that comes now; counts it.
-    fn refused_for(&self) -> Option<Duration> {
-        let mut refuses = self.refuses.lock();
-        let left = refuses.until?.checked_duration_since(Instant::now())?;
-        refuses.refused += 1;
-        Some(left)
+    /// If calls are rejected now, counts a rejection and returns the remaining duration.
+    fn reject(&self) -> Option<Duration> {
+        let mut backoff = self.backoff.lock();
+        let remaining = backoff.until?.checked_duration_since(Instant::now())?;
+        backoff.rejected += 1;
+        Some(remaining)
     }
 
     fn counts(&self) -> Counts {
-        let held_places = self.cfg.places - self.places.available_permits();
+        let held_places = self.cfg.slots - self.slots.available_permits();
         Counts { keys: self.keys.lock().clone(), held_places, ..Counts::default() }
     }
 }
@@ -153,10 +153,10 @@
     headers: HeaderMap,
     body: Bytes,
 ) -> Response {
-    if let Some(left) = state.refused_for() {
-        let refusal = warp::reply::with_status("busy", StatusCode::SERVICE_UNAVAILABLE);
-        let seconds = left.as_secs_f64().to_string();
-        return warp::reply::with_header(refusal, "retry-after", seconds).into_response();
+    if let Some(remaining) = state.reject() {
+        let rejection = warp::reply::with_status("busy", StatusCode::SERVICE_UNAVAILABLE);
+        let seconds = remaining.as_secs_f64().to_string();
+        return warp::reply::with_header(rejection, "retry-after", seconds).into_response();
     }
     let key = headers.get(KEY_HEADER).and_then(|v| v.to_str().ok()).unwrap_or("unkeyed");
     state.keys.lock().entry(key.to_owned()).or_default().runs += 1;
@@ -164,12 +164,12 @@
     let marked = if text.contains('#') { text } else { query.replace("mark=", "#") };
     let answer =
         ServiceAnswer { mark: prompt::mark(&marked).to_owned(), path: path.as_str().to_owned() };
-    // A task of its own: a call once begun goes on when the caller goes away.
-    let work = tokio::spawn(async move {
-        let permit = state.places.acquire().await;
-        tokio::time::sleep(state.cfg.call_time.duration()).await;
+    // Runs in its own task, so that a started call completes even if the client disconnects.
+    let task = tokio::spawn(async move {
+        let permit = state.slots.acquire().await;
+        tokio::time::sleep(state.cfg.call_duration.duration()).await;
         drop(permit);
     });
-    work.await.ok();
+    task.await.ok();
     json_reply(&answer)
 }
--- a/crates/bulrushusher_standin/src/store.rs
+++ b/crates/bulrushusher_standin/src/store.rs
@@ -1,9 +1,14 @@
-//! A stand-in for the platform's object API: versions, conditional updates, watches, call counts.
+//! A stand-in for the platform's object API: versioned objects, conditional updates, watches and
+//! call counts.
 //!
-//! Protocol, all `POST` with JSON: `/get` [`GetCall`] → [`Object`] or 404; `/list` [`ListCall`] →
-//! [`Listing`]; `/put` [`PutCall`] → [`Object`], or 409 with the [`Object`] held; `/watch`
-//! [`WatchCall`] → [`Listing`] of what changed after a revision, empty when nothing did in time.
-//! `GET /calls` → [`CallCounts`]; `POST /faults` [`StoreFaults`].
+//! Protocol, HTTP/JSON:
+//! - `POST /get` [`GetRequest`] → [`Object`], or 404.
+//! - `POST /list` [`ListRequest`] → [`Listing`].
+//! - `POST /put` [`PutRequest`] → [`Object`], or 409 with the current [`Object`], if any, on a
+//!   version conflict; 413 if the value exceeds 1 MiB.
+//! - `POST /watch` [`WatchRequest`] → [`Listing`] of the objects changed after a revision; empty
+//!   if none changes within 10 s.
+//! - `GET /calls` → [`CallCounts`]; `POST /faults` [`StoreFaults`].
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -21,90 +26,90 @@
 use warp::Filter;
 use warp::reply::Response;
 
-/// The largest value, in bytes.
-const MAX_VALUE: usize = 1 << 20;
-/// The longest time a watch waits.
-const MAX_WATCH: Duration = Duration::from_secs(10);
+/// Maximum size of a value, in bytes.
+const MAX_VALUE_BYTES: usize = 1 << 20;
+/// How long a watch waits for a change.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An object.
+/// A versioned object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Object {
-    /// Its key, such as `closing/november`.
+    /// Key of the object, such as `closing/november`.
     pub key: String,
-    /// How often it was written.
+    /// Number of writes to the object.
     pub version: u64,
-    /// The store's revision at its last write.
+    /// The store's revision at the object's last write.
     pub revision: u64,
-    /// The mark of its last writer.
+    /// The mark of the last write; see [`PutRequest::mark`].
     pub mark: String,
-    /// Its value.
+    /// Value of the object.
     pub value: serde_json::Value,
 }
 
-/// Asks for one object.
+/// Request for one object.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct GetCall {
-    /// Its key.
+pub struct GetRequest {
+    /// Key of the object.
     pub key: String,
 }
 
-/// Asks for all objects whose key starts with a text.
+/// Request for all objects whose key has a prefix.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ListCall {
-    /// The text.
+pub struct ListRequest {
+    /// Prefix of the keys.
     pub prefix: String,
 }
 
-/// Asks for what changes after a revision.
+/// Request for the objects that changed after a revision.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct WatchCall {
-    /// Keys start with this.
+pub struct WatchRequest {
+    /// Prefix of the keys.
     pub prefix: String,
-    /// The last revision seen.
+    /// The last revision that the client has received.
     pub after: u64,
 }
 
-/// Writes an object if it has the expected version; 0 for "not there yet".
+/// Request to write an object if its current version is the expected one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct PutCall {
-    /// Its key.
+pub struct PutRequest {
+    /// Key of the object.
     pub key: String,
-    /// The version that the writer saw.
+    /// The version to be replaced; 0 creates the object.
     pub expected_version: u64,
-    /// A text unique to this write, to recognise it after a lost reply.
+    /// Text unique to this write, by which the writer recognises it after a lost reply.
     pub mark: String,
     /// The new value.
     pub value: serde_json::Value,
 }
 
-/// Objects, and the store's revision when they were read.
+/// Objects, with the store's revision at the time of the read.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Listing {
     /// The store's revision.
     pub revision: u64,
-    /// The objects.
+    /// The objects that match the request.
     pub objects: Vec<Object>,
 }
 
-/// Calls served, by kind. A waiting watch counts as one call.
+/// Number of calls received, by kind. A watch counts once, however long it waits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCounts {
-    /// Reads: get and list.
+    /// Get and list calls.
     pub reads: u64,
-    /// Writes.
+    /// Put calls.
     pub writes: u64,
-    /// Watches.
+    /// Watch calls.
     pub watches: u64,
 }
 
-/// Faults that a test switches on and off.
+/// Faults that a test can inject.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct StoreFaults {
-    /// Every call is refused.
+    /// Every call is rejected with status 503.
     pub outage: bool,
-    /// So many writes take effect and then lose their reply.
+    /// Number of further writes that are applied but never answered.
     pub lose_replies: u32,
-    /// Every call takes this much longer.
+    /// Latency added to every call.
     pub slow: Millis,
 }
 
@@ -125,86 +130,86 @@
 /// A running stand-in store.
 #[derive(Debug)]
 pub struct Store {
-    /// Where it listens.
+    /// Address on which the store listens.
     pub addr: SocketAddr,
     state: Arc<StoreState>,
-    served: HttpServer,
+    server: HttpServer,
 }
 
 impl Store {
-    /// Starts a store on `addr`; port 0 takes any.
+    /// Starts a store on `addr`; port 0 picks a free port.
     ///
     /// # Errors
-    /// What the system says, such as "address in use".
+    /// The I/O error of binding the listener, such as "address in use".
     pub fn start(addr: SocketAddr) -> std::io::Result<Store> {
         let state =
             Arc::new(StoreState { tables: Mutex::default(), changed: watch::Sender::new(0) });
-        let served = serve(addr, routes(Arc::clone(&state)))?;
-        Ok(Store { addr: served.addr, state, served })
+        let server = serve(addr, routes(Arc::clone(&state)))?;
+        Ok(Store { addr: server.addr, state, server })
     }
 
-    /// Switches faults.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: StoreFaults) {
         self.state.set_faults(faults);
     }
 
-    /// Calls served so far.
+    /// Number of calls received so far.
     pub fn counts(&self) -> CallCounts {
         self.state.tables.lock().counts
     }
 
-    /// Stops listening once the open calls have ended.
+    /// Stops the store once the open calls have ended.
     pub async fn stop(self) {
-        self.served.stop().await;
+        self.server.stop().await;
     }
 }
 
 impl StoreState {
     fn set_faults(&self, faults: StoreFaults) {
         self.tables.lock().faults = faults;
-        // Wakes the waiting watches, so that an outage ends them.
+        // Wakes pending watches, so that an outage fails them at once.
         self.changed.send_modify(|_| {});
     }
 
-    /// Delays or refuses a call as the faults say, and counts it.
-    async fn admit(&self, count: fn(&mut CallCounts)) -> Option<Response> {
+    /// Counts a call and applies the injected latency and outage to it.
+    async fn apply_faults(&self, count: fn(&mut CallCounts)) -> Option<Response> {
         let faults = {
             let mut tables = self.tables.lock();
             count(&mut tables.counts);
             tables.faults
         };
         tokio::time::sleep(faults.slow.duration()).await;
-        faults.outage.then(|| json_status(503, &"the store is down"))
+        faults.outage.then(|| json_status(503, &"the store is unavailable (injected outage)"))
     }
 
-    fn put(&self, call: PutCall) -> Result<Object, Option<Object>> {
+    fn put(&self, req: PutRequest) -> Result<Object, Option<Object>> {
         let mut tables = self.tables.lock();
-        let held = tables.objects.get(&call.key);
-        let version = held.map_or(0, |object| object.version);
-        if version != call.expected_version {
-            return Err(held.cloned());
+        let current = tables.objects.get(&req.key);
+        let version = current.map_or(0, |object| object.version);
+        if version != req.expected_version {
+            return Err(current.cloned());
         }
         tables.revision += 1;
         let object = Object {
-            key: call.key.clone(),
+            key: req.key.clone(),
             version: version + 1,
             revision: tables.revision,
-            mark: call.mark,
-            value: call.value,
+            mark: req.mark,
+            value: req.value,
         };
-        tables.objects.insert(call.key, object.clone());
+        tables.objects.insert(req.key, object.clone());
         self.changed.send_replace(tables.revision);
         Ok(object)
     }
 
     fn list(&self, prefix: &str, after: u64) -> Listing {
         let tables = self.tables.lock();
-        let wanted = |o: &&Object| o.key.starts_with(prefix) && o.revision > after;
-        let objects = tables.objects.values().filter(wanted).cloned().collect();
+        let matches = |o: &&Object| o.key.starts_with(prefix) && o.revision > after;
+        let objects = tables.objects.values().filter(matches).cloned().collect();
         Listing { revision: tables.revision, objects }
     }
 
-    fn lose_reply(&self) -> bool {
+    fn take_lost_reply(&self) -> bool {
         let mut tables = self.tables.lock();
         let lose = tables.faults.lose_replies > 0;
         tables.faults.lose_replies = tables.faults.lose_replies.saturating_sub(1);
@@ -229,57 +234,57 @@
         .recover(reject_json)
 }
 
-async fn get(state: Arc<StoreState>, call: GetCall) -> Response {
-    if let Some(refusal) = state.admit(|counts| counts.reads += 1).await {
-        return refusal;
+async fn get(state: Arc<StoreState>, req: GetRequest) -> Response {
+    if let Some(rejection) = state.apply_faults(|counts| counts.reads += 1).await {
+        return rejection;
     }
-    match state.tables.lock().objects.get(&call.key) {
+    match state.tables.lock().objects.get(&req.key) {
         Some(object) => json_reply(object),
-        None => json_status(404, &"no such object"),
+        None => json_status(404, &"no object has this key"),
     }
 }
 
-async fn list(state: Arc<StoreState>, call: ListCall) -> Response {
-    match state.admit(|counts| counts.reads += 1).await {
-        Some(refusal) => refusal,
-        None => json_reply(&state.list(&call.prefix, 0)),
+async fn list(state: Arc<StoreState>, req: ListRequest) -> Response {
+    match state.apply_faults(|counts| counts.reads += 1).await {
+        Some(rejection) => rejection,
+        None => json_reply(&state.list(&req.prefix, 0)),
     }
 }
 
-async fn put(state: Arc<StoreState>, call: PutCall) -> Response {
-    if let Some(refusal) = state.admit(|counts| counts.writes += 1).await {
-        return refusal;
+async fn put(state: Arc<StoreState>, req: PutRequest) -> Response {
+    if let Some(rejection) = state.apply_faults(|counts| counts.writes += 1).await {
+        return rejection;
     }
-    if call.value.to_string().len() > MAX_VALUE {
-        return json_status(413, &"a value has at most 1 MiB");
+    if req.value.to_string().len() > MAX_VALUE_BYTES {
+        return json_status(413, &"the value exceeds the limit of 1 MiB");
     }
-    let done = state.put(call);
-    if done.is_ok() && state.lose_reply() {
+    let done = state.put(req);
+    if done.is_ok() && state.take_lost_reply() {
         std::future::pending::<()>().await;
     }
     match done {
         Ok(object) => json_reply(&object),
-        Err(held) => json_status(409, &held),
+        Err(current) => json_status(409, &current),
     }
 }
 
-async fn watch_changes(state: Arc<StoreState>, call: WatchCall) -> Response {
+async fn watch_changes(state: Arc<StoreState>, req: WatchRequest) -> Response {
     let mut changed = state.changed.subscribe();
-    if let Some(refusal) = state.admit(|counts| counts.watches += 1).await {
-        return refusal;
+    if let Some(rejection) = state.apply_faults(|counts| counts.watches += 1).await {
+        return rejection;
     }
-    let end = tokio::time::Instant::now() + MAX_WATCH;
+    let deadline = tokio::time::Instant::now() + WATCH_TIMEOUT;
     loop {
         if state.tables.lock().faults.outage {
-            return json_status(503, &"the store is down");
+            return json_status(503, &"the store is unavailable (injected outage)");
         }
-        let listing = state.list(&call.prefix, call.after);
+        let listing = state.list(&req.prefix, req.after);
         if !listing.objects.is_empty() {
             return json_reply(&listing);
         }
-        let waited = tokio::time::timeout_at(end, changed.changed()).await;
-        if !matches!(waited, Ok(Ok(()))) {
-            return json_reply(&state.list(&call.prefix, call.after));
+        let woken = tokio::time::timeout_at(deadline, changed.changed()).await;
+        if !matches!(woken, Ok(Ok(()))) {
+            return json_reply(&state.list(&req.prefix, req.after));
         }
     }
 }
--- a/crates/bulrushusher_standin/src/vm_list.rs
+++ b/crates/bulrushusher_standin/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's lagging list of VMs.
+//! A stand-in for the platform's list of VMs, which is eventually consistent.
 
 use std::collections::BTreeMap;
 
@@ -6,19 +6,19 @@
 use bulrushusher_world::VmName;
 use serde::{Deserialize, Serialize};
 
-/// What the list says of a VM.
+/// State of a VM in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It runs.
+    /// Running.
     Live,
-    /// It will be taken away.
+    /// Scheduled for removal.
     Leaving,
-    /// It is gone.
+    /// Removed.
     Gone,
 }
 
-/// The list: changes are seen only after the lag.
+/// A list of VMs whose changes become visible after a fixed lag.
 ///
 /// ```
 /// use bulrushusher_standin::vm_list::{VmList, VmState};
@@ -28,8 +28,8 @@
 /// let mut list = VmList::new(Millis(2_000));
 /// list.set(vm.clone(), VmState::Live, Millis(0));
 /// list.set(vm.clone(), VmState::Leaving, Millis(5_000));
-/// assert_eq!(list.seen(Millis(6_000))[&vm], VmState::Live);
-/// assert_eq!(list.seen(Millis(7_000))[&vm], VmState::Leaving);
+/// assert_eq!(list.visible(Millis(6_000))[&vm], VmState::Live);
+/// assert_eq!(list.visible(Millis(7_000))[&vm], VmState::Leaving);
 /// ```
 #[derive(Clone, Debug)]
 pub struct VmList {
@@ -38,19 +38,19 @@
 }
 
 impl VmList {
-    /// An empty list whose changes are seen after `lag`.
+    /// An empty list whose changes become visible after `lag`.
     pub fn new(lag: Millis) -> VmList {
         VmList { lag, changes: Vec::new() }
     }
 
-    /// A VM changed at `now`.
+    /// Records that a VM changed to `state` at `now`.
     pub fn set(&mut self, vm: VmName, state: VmState, now: Millis) {
         self.changes.push((now, vm, state));
     }
 
-    /// The list as a reader sees it at `now`.
-    pub fn seen(&self, now: Millis) -> BTreeMap<VmName, VmState> {
-        let out = self.changes.iter().filter(|(at, ..)| at.plus(self.lag) <= now);
-        out.map(|(_, vm, state)| (vm.clone(), *state)).collect()
+    /// The states visible to a reader at `now`.
+    pub fn visible(&self, now: Millis) -> BTreeMap<VmName, VmState> {
+        let visible = self.changes.iter().filter(|(at, ..)| at.plus(self.lag) <= now);
+        visible.map(|(_, vm, state)| (vm.clone(), *state)).collect()
     }
 }
--- a/tools/bulrushusher_testbed/src/bed.rs
+++ b/tools/bulrushusher_testbed/src/bed.rs
@@ -121,8 +121,8 @@
 
     /// Open connections to the agent go silent for good; new ones work.
     pub fn silence(&self) {
-        self.control_relay.silence_open_connections();
-        self.stream_relay.silence_open_connections();
+        self.control_relay.blackhole_open_connections();
+        self.stream_relay.blackhole_open_connections();
     }
 
     /// Switches the engine's faults.
@@ -135,14 +135,14 @@
     /// A plain service refuses all calls for that long, and says so.
     pub fn refuse_for(&self, length: Duration) {
         if let Some(Target::Plain(service)) = &self.target {
-            service.refuse_for(length);
+            service.reject_for(length);
         }
     }
 
     /// Calls that a plain service refused.
     pub fn refused(&self) -> usize {
         match &self.target {
-            Some(Target::Plain(service)) => service.refused(),
+            Some(Target::Plain(service)) => service.rejected_calls(),
             Some(Target::Engine(_)) | None => 0,
         }
     }
@@ -390,8 +390,8 @@
     };
     let (service, places) = match role {
         Role::Prefill => (deployment.model, PREFILL_PLACES),
-        Role::Decode => (deployment.model, deployment.engine.places),
-        Role::Service => (deployment.service, deployment.plain.places),
+        Role::Decode => (deployment.model, deployment.engine.slots),
+        Role::Service => (deployment.service, deployment.plain.slots),
     };
     let mut agent_cfg = AgentConfig {
         name: name.as_str().try_into().map_err(ValidationError::from)?,
--- a/tools/bulrushusher_testbed/src/deployment.rs
+++ b/tools/bulrushusher_testbed/src/deployment.rs
@@ -1,6 +1,6 @@
 //! The two deployments that the router is made for, as the stand-ins play them.
 
-use bulrushusher_standin::load::{Flow, Kind};
+use bulrushusher_standin::load::{Flow, FlowKind};
 use bulrushusher_standin::{EngineConfig, ServiceConfig};
 use bulrushusher_time::Millis;
 use bulrushusher_world::{Patience, Repeat};
@@ -24,7 +24,7 @@
     /// The longest time to the whole answer.
     pub deadline: Millis,
     /// What its requests ask for.
-    pub kind: Kind,
+    pub kind: FlowKind,
 }
 
 /// A deployment: its runners and its classes.
@@ -77,7 +77,7 @@
             services: 4,
             entries: 2,
             engine: EngineConfig::default(),
-            plain: ServiceConfig { call_time: Millis(20), places: 8 },
+            plain: ServiceConfig { call_duration: Millis(20), slots: 8 },
             prompts: ClassPlan {
                 name: "rationale",
                 patience: Patience::Patient,
@@ -85,7 +85,7 @@
                 ttft: Millis(3_000),
                 per_token: Millis(71),
                 deadline: Millis(120_000),
-                kind: Kind::Prompts {
+                kind: FlowKind::Prompts {
                     model: "rationale-llm".to_owned(),
                     prompt_tokens: (1_500, 6_000),
                     answer_tokens: (60, 180),
@@ -99,7 +99,10 @@
                 ttft: Millis(250),
                 per_token: Millis(71),
                 deadline: Millis(10_000),
-                kind: Kind::Calls { service: "board-app".to_owned(), path: "swatch".to_owned() },
+                kind: FlowKind::Calls {
+                    service: "board-app".to_owned(),
+                    path: "swatch".to_owned(),
+                },
             },
             goodput_weight: 2.0,
             waste_weight: 1.0,
@@ -120,7 +123,7 @@
             services: 3,
             entries: 2,
             engine: EngineConfig::default(),
-            plain: ServiceConfig { call_time: Millis(30), places: 6 },
+            plain: ServiceConfig { call_duration: Millis(30), slots: 6 },
             prompts: ClassPlan {
                 name: "summary",
                 patience: Patience::Patient,
@@ -128,7 +131,7 @@
                 ttft: Millis(3_000),
                 per_token: Millis(71),
                 deadline: Millis(120_000),
-                kind: Kind::Prompts {
+                kind: FlowKind::Prompts {
                     model: "guide-llm".to_owned(),
                     prompt_tokens: (4_000, 9_000),
                     answer_tokens: (40, 120),
@@ -142,7 +145,10 @@
                 ttft: Millis(300),
                 per_token: Millis(71),
                 deadline: Millis(10_000),
-                kind: Kind::Calls { service: "pass-desk".to_owned(), path: "lookup".to_owned() },
+                kind: FlowKind::Calls {
+                    service: "pass-desk".to_owned(),
+                    path: "lookup".to_owned(),
+                },
             },
             goodput_weight: 1.0,
             waste_weight: 2.0,
@@ -153,7 +159,8 @@
 
     /// Prompts a second that the engines can serve, from their own settings, and what bounds it.
     pub fn prompt_capacity(&self) -> (f64, &'static str) {
-        let Kind::Prompts { prompt_tokens, answer_tokens, shared_blocks, .. } = &self.prompts.kind
+        let FlowKind::Prompts { prompt_tokens, answer_tokens, shared_blocks, .. } =
+            &self.prompts.kind
         else {
             return (0.0, "nothing");
         };
@@ -163,10 +170,10 @@
         let prefill_ms = self.engine.prefill_time(computed).0 as f64;
         let transfer_ms = self.engine.transfer_time(mean(prompt_tokens) as usize).0 as f64;
         let decode_ms =
-            mean(answer_tokens) * self.engine.step_us(self.engine.places) as f64 / 1000.0;
+            mean(answer_tokens) * self.engine.step_us(self.engine.slots) as f64 / 1000.0;
         let prefill = self.prefills as f64 * 1000.0 / prefill_ms;
         let link = self.prefills as f64 * 1000.0 / transfer_ms.max(1.0);
-        let places = (self.decodes * self.engine.places) as f64;
+        let places = (self.decodes * self.engine.slots) as f64;
         let decode = places * 1000.0 / (decode_ms + transfer_ms);
         let bounds = [(prefill, "prefill"), (link, "links"), (decode, "decode places")];
         bounds.into_iter().min_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((0.0, "nothing"))
@@ -174,7 +181,7 @@
 
     /// Calls a second that the plain service can serve, from its own settings.
     pub fn call_capacity(&self) -> f64 {
-        (self.services * self.plain.places) as f64 * 1000.0 / self.plain.call_time.0 as f64
+        (self.services * self.plain.slots) as f64 * 1000.0 / self.plain.call_duration.0 as f64
     }
 
     /// Calls a second at load 1.0: a part of the capacity, as the interactive traffic is not what
--- a/tools/bulrushusher_testbed/src/run.rs
+++ b/tools/bulrushusher_testbed/src/run.rs
@@ -5,8 +5,8 @@
 
 use bulrushusher_report::{ClassFigures, Targets};
 use bulrushusher_routing::Policy;
-use bulrushusher_standin::caller::{Call, Caller, Outcome};
-use bulrushusher_standin::load::{Planned, fresh_key, plan};
+use bulrushusher_standin::caller::{Caller, Outcome, Request};
+use bulrushusher_standin::load::{ScheduledRequest, fresh_key, schedule};
 use bulrushusher_time::Millis;
 use parking_lot::Mutex;
 use rand::{RngExt, SeedableRng};
@@ -74,7 +74,7 @@
     // Keys minted within the clock skew of the agents' start would be in doubt.
     sleep(SETTLE).await;
     let flows = deployment.flows(load);
-    let mut planned = plan(&flows, length, seed);
+    let mut planned = schedule(&flows, length, seed);
     if faults.contains(&Fault::ClientCancel) {
         plan_cancels(&mut planned, seed);
     }
@@ -115,13 +115,13 @@
     Ok(())
 }
 
-fn plan_cancels(planned: &mut [Planned], seed: u64) {
+fn plan_cancels(planned: &mut [ScheduledRequest], seed: u64) {
     const SHARE: f64 = 0.1;
     const MAX_TOKENS: usize = 40;
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xca);
     for request in planned {
         if rng.random_bool(SHARE) {
-            request.call.cancel_after = Some(rng.random_range(1..MAX_TOKENS));
+            request.request.cancel_after = Some(rng.random_range(1..MAX_TOKENS));
         }
     }
 }
@@ -148,7 +148,7 @@
 }
 
 impl Sender {
-    async fn send_all(self, planned: Vec<Planned>) {
+    async fn send_all(self, planned: Vec<ScheduledRequest>) {
         const DUPLICATE_SHARE: f64 = 0.2;
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0xd0);
         let start = Instant::now();
@@ -156,18 +156,18 @@
         for (number, mut request) in planned.into_iter().enumerate() {
             sleep_until(start + request.at.duration()).await;
             // The key carries the time of its sending.
-            request.call.key = request.call.key.map(|_| fresh_key());
+            request.request.key = request.request.key.map(|_| fresh_key());
             let is_twin = self.duplicates && rng.random_bool(DUPLICATE_SHARE);
-            if is_twin && request.call.key.is_some() {
-                open.spawn(self.clone().send(request.flow, request.call.clone(), number + 1));
+            if is_twin && request.request.key.is_some() {
+                open.spawn(self.clone().send(request.flow, request.request.clone(), number + 1));
             }
-            open.spawn(self.clone().send(request.flow, request.call, number));
+            open.spawn(self.clone().send(request.flow, request.request, number));
             while open.try_join_next().is_some() {}
         }
         while open.join_next().await.is_some() {}
     }
 
-    async fn send(self, flow: usize, call: Call, entry: usize) {
+    async fn send(self, flow: usize, call: Request, entry: usize) {
         self.progress.lock().sent += 1;
         let outcome = self.caller.send(&call, entry).await;
         self.progress.lock().ended += 1;
--- a/tools/bulrushusher_testbed/tests/crashes.rs
+++ b/tools/bulrushusher_testbed/tests/crashes.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bulrushusher_routing::Policy;
-use bulrushusher_standin::caller::{Ask, Call, Caller, Outcome};
+use bulrushusher_standin::caller::{Caller, Outcome, Request, RequestKind};
 use bulrushusher_standin::engine::Faults;
 use bulrushusher_standin::load::fresh_key;
 use bulrushusher_testbed::{Bed, Deployment};
@@ -21,9 +21,9 @@
 /// How long a caller waits for a prompt that is not served.
 const PATIENCE: Duration = Duration::from_secs(15);
 
-fn call(mark: &str) -> Call {
-    Call {
-        ask: Ask::Prompt {
+fn call(mark: &str) -> Request {
+    Request {
+        kind: RequestKind::Prompt {
             model: "guide-llm".to_owned(),
             prompt: format!("the south coast #{mark}"),
             max_tokens: 5,
--- a/tools/bulrushusher_testbed/tests/faults.rs
+++ b/tools/bulrushusher_testbed/tests/faults.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bulrushusher_routing::Policy;
-use bulrushusher_standin::caller::{Ask, Call, Caller};
+use bulrushusher_standin::caller::{Caller, Request, RequestKind};
 use bulrushusher_standin::load::fresh_key;
 use bulrushusher_testbed::{Bed, Deployment, Fault, Plan, Report, run};
 use bulrushusher_time::Millis;
@@ -87,8 +87,8 @@
     let deployment = Deployment { orphan: Millis(1_500), ..Deployment::naladnik() };
     let mut bed = Bed::start(deployment, Policy::Paired, 3).await.unwrap();
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let call = Call {
-        ask: Ask::Prompt {
+    let call = Request {
+        kind: RequestKind::Prompt {
             model: "rationale-llm".to_owned(),
             prompt: "a long one #gone".to_owned(),
             max_tokens: FOREVER,
--- a/tools/bulrushusher_testbed/tests/processes/fleet.rs
+++ b/tools/bulrushusher_testbed/tests/processes/fleet.rs
@@ -9,7 +9,7 @@
 use bulrushusher_http::HttpClient;
 use bulrushusher_operator::v1;
 use bulrushusher_operator::v1::operator_client::OperatorClient;
-use bulrushusher_standin::caller::{Ask, Call, Caller};
+use bulrushusher_standin::caller::{Caller, Request, RequestKind};
 use bulrushusher_standin::engine::Counts;
 use bulrushusher_standin::load::fresh_key;
 use bulrushusher_standin::store::StoreFaults;
@@ -349,9 +349,9 @@
 }
 
 /// A billed prompt with a key: non-idempotent by its default class.
-pub fn prompt(mark: &str, tokens: usize) -> Call {
-    Call {
-        ask: Ask::Prompt {
+pub fn prompt(mark: &str, tokens: usize) -> Request {
+    Request {
+        kind: RequestKind::Prompt {
             model: "rationale-llm".to_owned(),
             prompt: format!("{} #{mark}", "a palette for a kitchen. ".repeat(40)),
             max_tokens: tokens,
--- a/tools/bulrushusher_testbed/tests/processes/main.rs
+++ b/tools/bulrushusher_testbed/tests/processes/main.rs
@@ -4,7 +4,7 @@
 mod fleet;
 
 use bulrushusher_operator::v1;
-use bulrushusher_standin::caller::{Call, Outcome};
+use bulrushusher_standin::caller::{Outcome, Request};
 use bulrushusher_standin::store::StoreFaults;
 use bulrushusher_time::Millis;
 use fleet::{Fleet, prompt};
@@ -14,12 +14,12 @@
 /// Longer than a test waits: such an answer ends only by being cancelled.
 const ENDLESS: usize = 20_000;
 
-fn send(fleet: &Fleet, call: &Call, entry: usize) -> JoinHandle<Outcome> {
+fn send(fleet: &Fleet, call: &Request, entry: usize) -> JoinHandle<Outcome> {
     let (caller, call) = (fleet.caller(), call.clone());
     tokio::spawn(async move { caller.send(&call, entry).await })
 }
 
-fn key(call: &Call) -> &str {
+fn key(call: &Request) -> &str {
     call.key.as_deref().expect("the call has a key")
 }
 
@@ -75,7 +75,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_frozen_beyond_every_time_to_live_runs_nothing_twice() {
     let fleet = Fleet::start("entry-frozen").await;
-    let calls: Vec<Call> = (0..12).map(|n| prompt(&format!("frozen{n}"), 30)).collect();
+    let calls: Vec<Request> = (0..12).map(|n| prompt(&format!("frozen{n}"), 30)).collect();
     let first: Vec<_> = calls.iter().map(|call| send(&fleet, call, 0)).collect();
     fleet.entries[0].freeze();
     // The same keys at the other entry, while the first one stands still.
@@ -146,7 +146,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_graceful_shutdown_cuts_nothing_in_flight() {
     let mut fleet = Fleet::start("graceful").await;
-    let calls: Vec<Call> = (0..10).map(|n| prompt(&format!("grace{n}"), 100)).collect();
+    let calls: Vec<Request> = (0..10).map(|n| prompt(&format!("grace{n}"), 100)).collect();
     // Each caller knows one entry only, so that being cut off would be seen.
     let sent: Vec<_> = calls
         .iter()
@@ -177,7 +177,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_goes_away_frees_the_engine() {
     let fleet = Fleet::start("cancel").await;
-    let call = Call { cancel_after: Some(3), ..prompt("gone", ENDLESS) };
+    let call = Request { cancel_after: Some(3), ..prompt("gone", ENDLESS) };
     let outcome = send(&fleet, &call, 0).await.unwrap();
     assert_eq!(outcome, Outcome::Cancelled);
     fleet.wait_released().await;
--- a/tools/bulrushusher_testbed/tests/retry_after.rs
+++ b/tools/bulrushusher_testbed/tests/retry_after.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bulrushusher_routing::Policy;
-use bulrushusher_standin::caller::{Ask, Call, Caller, Outcome};
+use bulrushusher_standin::caller::{Caller, Outcome, Request, RequestKind};
 use bulrushusher_standin::load::fresh_key;
 use bulrushusher_testbed::{Bed, Deployment};
 use bulrushusher_world::Role;
@@ -18,9 +18,9 @@
 /// Calls that may have been on their way, or hold a place, when the first refusal came.
 const ON_THEIR_WAY: usize = 2;
 
-fn call(nth: usize) -> Call {
-    Call {
-        ask: Ask::Call { service: "pass-desk".to_owned(), path: "lookup".to_owned() },
+fn call(nth: usize) -> Request {
+    Request {
+        kind: RequestKind::Call { service: "pass-desk".to_owned(), path: "lookup".to_owned() },
         mark: format!("backoff{nth}"),
         key: Some(fresh_key()),
         class: Some("pass-lookup".to_owned()),
