--- a/crates/bulrushusher_operator/src/convert.rs
+++ b/crates/bulrushusher_operator/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between the schema's messages and the world's checked types.
+//! Conversions between the schema's messages and the validated types of `bulrushusher_world`.
 
 use bulrushusher_world::{
     ClientAccount, Closing, Endpoint, RawClientAccount, RawClosing, RawDeliverableClass,
@@ -7,7 +7,7 @@
 
 use crate::v1;
 
-/// Checks a closing.
+/// Validates a message and converts it to a closing.
 ///
 /// ```
 /// use bulrushusher_operator::{convert::closing_from, v1};
@@ -37,7 +37,7 @@
     })
 }
 
-/// The message of a closing.
+/// Converts a closing of the given store version to a message.
 pub fn closing_to(closing: &Closing, version: u64) -> v1::Closing {
     let raw = RawClosing::from(closing.clone());
     let class = |c: RawDeliverableClass| v1::DeliverableClass {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Checks an endpoint.
+/// Validates a message and converts it to an endpoint.
 ///
 /// # Errors
 /// [`ValidationError`] names the field and the remedy.
@@ -78,7 +78,7 @@
     })
 }
 
-/// The message of an endpoint.
+/// Converts an endpoint of the given store version to a message.
 pub fn endpoint_to(endpoint: &Endpoint, version: u64) -> v1::Endpoint {
     let raw = RawEndpoint::from(endpoint.clone());
     v1::Endpoint {
@@ -94,7 +94,7 @@
     }
 }
 
-/// Checks a client account.
+/// Validates a message and converts it to a client account.
 ///
 /// # Errors
 /// [`ValidationError`] names the field and the remedy.
@@ -106,7 +106,7 @@
     })
 }
 
-/// The message of a client account.
+/// Converts a client account of the given store version to a message.
 pub fn account_to(account: &ClientAccount, version: u64) -> v1::Account {
     let raw = RawClientAccount::from(account.clone());
     v1::Account {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! Router for separate prefill and decode pools.
 //!
-//! This crate only re-exports the workspace's crates under short names. Take the decision crates
-//! ([`admission`], [`once`], [`routing`]) to embed the router's decisions elsewhere: they do no
-//! I/O. Take [`entry`] and [`agent`] to run the daemons inside another program.
+//! This crate re-exports the workspace's crates under short names. The decision crates
+//! ([`admission`], [`once`], [`routing`]) do no I/O and can be embedded in other programs. Use
+//! [`entry`] and [`agent`] to run the daemons inside another program.
 
 pub use bulrushusher_admission as admission;
 pub use bulrushusher_agent as agent;
