--- a/examples/closing.rs
+++ b/examples/closing.rs
@@ -1,8 +1,9 @@
-//! A month-end closing: both deployments of the brief on embedded stand-ins, under seeded load.
+//! Runs a month-end closing: both sample deployments on embedded stand-ins, under seeded load.
 //!
-//! Every process runs on real loopback sockets in this one program. Shown are the closings created
-//! by operators' RPC, the progress of the load, and a table per class. The counters come from the
-//! callers' and the engines' own records, not from the router's.
+//! All daemons run in this program and communicate over loopback sockets. The closings are created
+//! through the operators' RPC. The output shows each deployment's parameters, the progress of the
+//! load, and a table of results per class. The counters come from the callers and the engines, not
+//! from the router.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -16,7 +17,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use parking_lot::Mutex;
 
-const EXIT_PROMISE_BROKEN: u8 = 1;
+const EXIT_GUARANTEE_VIOLATED: u8 = 1;
 const PROGRESS_TICK: Duration = Duration::from_millis(200);
 
 fn command() -> Command {
@@ -28,16 +29,26 @@
     let json = Arg::new("json").long("json").action(ArgAction::SetTrue);
     Command::new("closing")
         .about("Runs a month-end closing on embedded stand-ins")
-        .arg(seed.value_parser(value_parser!(u64)).help("Seed of load, choices and stand-ins"))
-        .arg(seconds.value_parser(value_parser!(u64).range(1..)).help("Length of the load"))
-        .arg(load.value_parser(value_parser!(f64)).help("1.0 is the estimated capacity"))
+        .arg(
+            seed.value_parser(value_parser!(u64))
+                .help("Seed of the load, the routing decisions and the stand-ins"),
+        )
+        .arg(
+            seconds
+                .value_parser(value_parser!(u64).range(1..))
+                .help("Duration of the load, in seconds"),
+        )
+        .arg(
+            load.value_parser(value_parser!(f64))
+                .help("Load factor, where 1.0 is the estimated capacity"),
+        )
         .arg(
             policy
                 .value_parser(parse_policy)
-                .help("round-robin, least-loaded, prefill-first, paired"),
+                .help("Routing policy: round-robin, least-loaded, prefill-first or paired"),
         )
-        .arg(fault.value_parser(parse_fault).help("Fault to bring about; may be repeated"))
-        .arg(json.help("Print one JSON object as the last line"))
+        .arg(fault.value_parser(parse_fault).help("Fault to inject; may be repeated"))
+        .arg(json.help("Print the report as a JSON object on the last line"))
 }
 
 fn parse_policy(text: &str) -> Result<Policy, String> {
@@ -48,11 +59,11 @@
     Fault::try_from(text).map_err(|e| e.to_string())
 }
 
-fn plan_of(matches: &ArgMatches) -> Plan {
+fn plan_from(matches: &ArgMatches) -> Plan {
     let seconds = *matches.get_one::<u64>("seconds").expect("has a default");
     Plan {
         seed: *matches.get_one("seed").expect("has a default"),
-        length: Millis(seconds * 1000),
+        duration: Millis(seconds * 1000),
         load: *matches.get_one("load").expect("has a default"),
         policy: *matches.get_one("policy").expect("has a default"),
         faults: matches.get_many("fault").unwrap_or_default().copied().collect(),
@@ -64,9 +75,9 @@
     println!(
         "{}: {} prefill, {} decode, {} {} runners in {}; {} entries",
         deployment.closing,
-        deployment.prefills,
-        deployment.decodes,
-        deployment.services,
+        deployment.prefill_runners,
+        deployment.decode_runners,
+        deployment.service_runners,
         deployment.service,
         deployment.data_centres.join(", "),
         deployment.entries,
@@ -76,9 +87,9 @@
          {:.1} {}/s",
         plan.load,
         prompts * plan.load,
-        deployment.prompts.name,
+        deployment.prompt_class.name,
         deployment.call_rate() * plan.load,
-        deployment.calls.name,
+        deployment.call_class.name,
     );
 }
 
@@ -87,10 +98,10 @@
     let bar =
         ProgressBar::new(0).with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     loop {
-        let now = *progress.lock();
-        bar.set_length(now.planned);
-        bar.set_position(now.ended);
-        bar.set_message(format!("({} in flight)", now.sent - now.ended));
+        let current = *progress.lock();
+        bar.set_length(current.scheduled);
+        bar.set_position(current.completed);
+        bar.set_message(format!("({} in flight)", current.sent - current.completed));
         tokio::time::sleep(PROGRESS_TICK).await;
     }
 }
@@ -113,39 +124,39 @@
         totals.refused_not_run,
         totals.outcome_unknown
     );
-    for (name, count) in totals.promises() {
+    for (name, count) in totals.violations() {
         println!("  {name}: {count}");
     }
     for (cause, count) in &report.causes {
-        println!("  told {count} times: {cause}");
+        println!("  {count} requests ended with: {cause}");
     }
 }
 
-async fn play(plan: &Plan) -> Result<Report, Box<dyn std::error::Error>> {
+async fn run_deployments(plan: &Plan) -> Result<Report, Box<dyn std::error::Error>> {
     let progress = Arc::new(Mutex::new(Progress::default()));
-    let shown = tokio::spawn(show_progress(Arc::clone(&progress)));
+    let progress_task = tokio::spawn(show_progress(Arc::clone(&progress)));
     let naladnik = run(Deployment::naladnik(), plan, Arc::clone(&progress));
     let authority = run(Deployment::authority(), plan, progress);
     let (naladnik, authority) = tokio::join!(naladnik, authority);
-    shown.abort();
-    Ok(Report::join(vec![naladnik?, authority?]))
+    progress_task.abort();
+    Ok(Report::merge(vec![naladnik?, authority?]))
 }
 
 fn main() -> Result<ExitCode, Box<dyn std::error::Error>> {
     let matches = command().get_matches();
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("error")).init();
-    let plan = plan_of(&matches);
+    let plan = plan_from(&matches);
     for deployment in [Deployment::naladnik(), Deployment::authority()] {
         print_plan(&deployment, &plan);
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-    let report = runtime.block_on(play(&plan))?;
+    let report = runtime.block_on(run_deployments(&plan))?;
     print_report(&report);
     if matches.get_flag("json") {
         println!("{}", serde_json::to_string(&report)?);
     }
-    Ok(match report.totals.kept() {
+    Ok(match report.totals.guarantees_hold() {
         true => ExitCode::SUCCESS,
-        false => ExitCode::from(EXIT_PROMISE_BROKEN),
+        false => ExitCode::from(EXIT_GUARANTEE_VIOLATED),
     })
 }
--- a/tools/bulrushusher_experiment/src/main.rs
+++ b/tools/bulrushusher_experiment/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs every policy at every load on the same seeds, and writes a table and plots of goodput and
-//! wasted prefill against load.
+//! Compares the routing policies at several loads with the same seeds. Prints a table and writes
+//! plots of goodput and wasted prefill against load.
 //!
 //! `cargo run --release -p bulrushusher_experiment -- --out docs/figures`
 
@@ -16,20 +16,20 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 
-/// One run's place in the experiment, and what it came to.
+/// Parameters and results of one run.
 #[derive(Clone, Debug)]
 pub struct Point {
-    /// The policy.
+    /// Routing policy.
     pub policy: Policy,
-    /// The load factor.
+    /// Load factor, where 1.0 is the estimated capacity.
     pub load: f64,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Goodput of the prompts of both deployments, a second.
+    /// Goodput of the prompts of both deployments, per second.
     pub prompt_goodput: f64,
-    /// Share of interactive calls within target, 0 to 1.
+    /// Share of the service calls answered within their latency targets, 0 to 1.
     pub calls_in_target: f64,
-    /// Both deployments' report.
+    /// Merged report of both deployments.
     pub report: Report,
 }
 
@@ -38,14 +38,14 @@
         Arg::new(name).long(name).default_value(default).value_delimiter(',').help(help)
     };
     Command::new("experiment")
-        .about("Compares policies over loads and seeds")
+        .about("Compares routing policies over loads and seeds")
         .arg(
-            list("loads", "0.5,1.0,1.3,1.5", "Load factors")
+            list("loads", "0.5,1.0,1.3,1.5", "Load factors, where 1.0 is the estimated capacity")
                 .action(ArgAction::Append)
                 .value_parser(value_parser!(f64)),
         )
         .arg(
-            list("seeds", "1,2,3,4,5", "Seeds")
+            list("seeds", "1,2,3,4,5", "Seeds of the runs")
                 .action(ArgAction::Append)
                 .value_parser(value_parser!(u64)),
         )
@@ -54,28 +54,28 @@
                 .long("seconds")
                 .default_value("8")
                 .value_parser(value_parser!(u64).range(1..))
-                .help("Length of each run's load"),
+                .help("Duration of each run's load, in seconds"),
         )
         .arg(
             Arg::new("parallel")
                 .long("parallel")
                 .default_value("3")
                 .value_parser(value_parser!(u64).range(1..16))
-                .help("Runs at once"),
+                .help("Number of concurrent runs"),
         )
         .arg(
             Arg::new("fault")
                 .long("fault")
                 .action(ArgAction::Append)
                 .value_parser(|text: &str| Fault::try_from(text).map_err(|e| e.to_string()))
-                .help("Fault to bring about in every run; may be repeated"),
+                .help("Fault to inject into every run; may be repeated"),
         )
         .arg(
             Arg::new("out")
                 .long("out")
                 .default_value("target/experiment")
                 .value_parser(value_parser!(PathBuf))
-                .help("Folder for the plots"),
+                .help("Output directory of the plots"),
         )
 }
 
@@ -88,7 +88,7 @@
             for policy in Policy::ALL {
                 plans.push(Plan {
                     seed: *seed,
-                    length: Millis(seconds * 1000),
+                    duration: Millis(seconds * 1000),
                     load: *load,
                     policy,
                     faults: faults.clone(),
@@ -99,16 +99,16 @@
     plans
 }
 
-async fn measure(plan: Plan) -> Result<Point, String> {
+async fn run_point(plan: Plan) -> Result<Point, String> {
     let naladnik = run(Deployment::naladnik(), &plan, Arc::default());
     let authority = run(Deployment::authority(), &plan, Arc::default());
     let (naladnik, authority) = tokio::join!(naladnik, authority);
     let reports = vec![naladnik.map_err(|e| e.to_string())?, authority.map_err(|e| e.to_string())?];
-    let report = Report::join(reports);
-    let calls = ["swatch-card", "pass-lookup"];
+    let report = Report::merge(reports);
+    let call_classes = ["swatch-card", "pass-lookup"];
     let (mut prompt_goodput, mut good, mut accepted) = (0.0, 0, 0);
     for class in &report.classes {
-        if calls.contains(&class.class.as_str()) {
+        if call_classes.contains(&class.class.as_str()) {
             good += class.good;
             accepted += class.accepted;
         } else {
@@ -120,14 +120,14 @@
     Ok(Point { policy, load, seed, prompt_goodput, calls_in_target, report })
 }
 
-async fn measure_all(plans: Vec<Plan>, parallel: usize) -> Vec<Point> {
+async fn run_points(plans: Vec<Plan>, parallel: usize) -> Vec<Point> {
     let permits = Arc::new(Semaphore::new(parallel));
     let mut running = JoinSet::new();
     for plan in plans {
         let permits = Arc::clone(&permits);
         running.spawn(async move {
             let _permit = permits.acquire_owned().await.map_err(|e| e.to_string())?;
-            measure(plan).await
+            run_point(plan).await
         });
     }
     let mut points = Vec::new();
@@ -135,21 +135,22 @@
         match done {
             Ok(Ok(point)) => {
                 eprintln!(
-                    "experiment: {} load {} seed {}: prompt goodput {:.1}/s, wasted {:.2}%, kept {}",
+                    "experiment: {} load {} seed {}: prompt goodput {:.1}/s, wasted {:.2}%, \
+                     guarantees hold: {}",
                     point.policy,
                     point.load,
                     point.seed,
                     point.prompt_goodput,
                     point.report.wasted_prefill * 100.0,
-                    point.report.totals.kept(),
+                    point.report.totals.guarantees_hold(),
                 );
-                if !point.report.totals.kept() {
+                if !point.report.totals.guarantees_hold() {
                     eprintln!("experiment:   {:?} {:?}", point.report.totals, point.report.causes);
                 }
                 points.push(point);
             }
             Ok(Err(e)) => eprintln!("experiment: a run failed: {e}"),
-            Err(e) => eprintln!("experiment: a run broke: {e}"),
+            Err(e) => eprintln!("experiment: a run panicked: {e}"),
         }
     }
     points
@@ -161,16 +162,19 @@
     let parallel = matches.get_one::<u64>("parallel").copied().unwrap_or(1);
     let plans = plans(&matches);
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-    let points = runtime.block_on(measure_all(plans, parallel as usize));
+    let points = runtime.block_on(run_points(plans, parallel as usize));
     println!("{}", table::markdown(&points));
     let out = matches.get_one::<PathBuf>("out").cloned().unwrap_or_default();
     std::fs::create_dir_all(&out)?;
-    plot::draw(&out.join("goodput.svg"), "Prompt goodput, requests a second", &points, |point| {
-        point.prompt_goodput
-    })?;
+    plot::draw(
+        &out.join("goodput.svg"),
+        "Prompt goodput, requests per second",
+        &points,
+        |point| point.prompt_goodput,
+    )?;
     plot::draw(&out.join("wasted-prefill.svg"), "Wasted prefill, percent", &points, |point| {
         point.report.wasted_prefill * 100.0
     })?;
-    println!("plots are in {}", out.display());
+    println!("plots written to {}", out.display());
     Ok(())
 }
--- a/tools/bulrushusher_experiment/src/plot.rs
+++ b/tools/bulrushusher_experiment/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots as SVG: a line per policy, the mean over the seeds against the load.
+//! SVG plots with one line per policy: the mean of a value over the seeds, against the load.
 
 use std::path::Path;
 
@@ -8,7 +8,9 @@
 use crate::Point;
 use crate::table::{loads, mean, values};
 
+/// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (760, 460);
+/// Factor of the y-axis range above the largest value.
 const HEADROOM: f64 = 1.1;
 
 fn colour(policy: Policy) -> RGBColor {
@@ -20,19 +22,19 @@
     }
 }
 
-/// Draws one value of the points.
+/// Plots one value of the points to an SVG file; writes nothing if there are no points.
 ///
 /// # Errors
-/// What the plotting library says, such as a file that cannot be written.
+/// The plotting library's error, such as a file that cannot be written.
 pub fn draw(
     file: &Path,
     title: &str,
     points: &[Point],
-    of: fn(&Point) -> f64,
+    value: fn(&Point) -> f64,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let loads = loads(points);
     let (Some(first), Some(last)) = (loads.first(), loads.last()) else { return Ok(()) };
-    let top = points.iter().map(of).fold(1.0, f64::max) * HEADROOM;
+    let max_y = points.iter().map(value).fold(1.0, f64::max) * HEADROOM;
     let area = SVGBackend::new(file, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -40,10 +42,10 @@
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(56)
-        .build_cartesian_2d(*first..*last, 0.0..top)?;
+        .build_cartesian_2d(*first..*last, 0.0..max_y)?;
     chart.configure_mesh().x_desc("load (1.0 is the estimated capacity)").draw()?;
     for policy in Policy::ALL {
-        let line = loads.iter().map(|load| (*load, mean(&values(points, *load, policy, of))));
+        let line = loads.iter().map(|load| (*load, mean(&values(points, *load, policy, value))));
         let line: Vec<(f64, f64)> = line.collect();
         let style = colour(policy).stroke_width(2);
         chart
--- a/tools/bulrushusher_testbed/src/deployment.rs
+++ b/tools/bulrushusher_testbed/src/deployment.rs
@@ -1,67 +1,67 @@
-//! The two deployments that the router is made for, as the stand-ins play them.
+//! The two deployments that the router is designed for, modelled with stand-ins.
 
 use bulrushusher_standin::load::{Flow, FlowKind};
 use bulrushusher_standin::{EngineConfig, ServiceConfig};
 use bulrushusher_time::Millis;
 use bulrushusher_world::{Patience, Repeat};
 
-/// The agents' orphan bound: longer than the longest pause that a run is put under.
-const ORPHAN: Millis = Millis(8_000);
+/// The agents' orphan timeout: longer than the longest pause that a fault causes.
+const ORPHAN_TIMEOUT: Millis = Millis(8_000);
 
-/// A class with its flow of requests.
+/// A deliverable class and the requests that are sent for it.
 #[derive(Clone, Debug)]
 pub struct ClassPlan {
-    /// Its name.
+    /// Name of the class.
     pub name: &'static str,
-    /// Whether somebody waits for it.
+    /// Whether a user waits for the answer.
     pub patience: Patience,
-    /// Whether it may run again.
+    /// Whether a request may run more than once.
     pub repeat: Repeat,
     /// Target for the time to the first token.
     pub ttft: Millis,
     /// Target for the time between tokens.
     pub per_token: Millis,
-    /// The longest time to the whole answer.
+    /// Deadline for the complete answer.
     pub deadline: Millis,
-    /// What its requests ask for.
+    /// Kind of its requests.
     pub kind: FlowKind,
 }
 
-/// A deployment: its runners and its classes.
+/// A deployment: its entries, runners and deliverable classes.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Name of its closing.
+    /// Name of the closing.
     pub closing: &'static str,
-    /// Its data centres.
+    /// Data centres, to which runners and entries are assigned round-robin.
     pub data_centres: &'static [&'static str],
-    /// The model's service.
+    /// Service name of the model.
     pub model: &'static str,
-    /// The plain service.
+    /// Name of the plain service.
     pub service: &'static str,
-    /// Prefill runners.
-    pub prefills: usize,
-    /// Decode runners.
-    pub decodes: usize,
-    /// Plain service runners.
-    pub services: usize,
-    /// Entries.
+    /// Number of prefill runners.
+    pub prefill_runners: usize,
+    /// Number of decode runners.
+    pub decode_runners: usize,
+    /// Number of runners of the plain service.
+    pub service_runners: usize,
+    /// Number of entries.
     pub entries: usize,
-    /// How its engines behave.
-    pub engine: EngineConfig,
-    /// How its plain service behaves.
-    pub plain: ServiceConfig,
-    /// The class of prompts.
-    pub prompts: ClassPlan,
-    /// The class of plain calls.
-    pub calls: ClassPlan,
-    /// Weight of goodput in its closing.
+    /// Configuration of the engines.
+    pub engine_config: EngineConfig,
+    /// Configuration of the plain service.
+    pub service_config: ServiceConfig,
+    /// Class of the prompts.
+    pub prompt_class: ClassPlan,
+    /// Class of the plain service calls.
+    pub call_class: ClassPlan,
+    /// The closing's weight of goodput.
     pub goodput_weight: f64,
-    /// Weight of not wasting prefill in its closing.
+    /// The closing's weight of wasted prefill.
     pub waste_weight: f64,
-    /// Client accounts that send.
+    /// Number of client accounts that send requests.
     pub accounts: usize,
-    /// How long an agent lets a run go on with no entry known to read it.
-    pub orphan: Millis,
+    /// How long an agent continues a run that no entry reads.
+    pub orphan_timeout: Millis,
 }
 
 impl Deployment {
@@ -72,13 +72,13 @@
             data_centres: &["ba-petrzalka", "ba-ruzinov", "tt-trnava", "nr-nitra"],
             model: "rationale-llm",
             service: "board-app",
-            prefills: 5,
-            decodes: 7,
-            services: 4,
+            prefill_runners: 5,
+            decode_runners: 7,
+            service_runners: 4,
             entries: 2,
-            engine: EngineConfig::default(),
-            plain: ServiceConfig { call_duration: Millis(20), slots: 8 },
-            prompts: ClassPlan {
+            engine_config: EngineConfig::default(),
+            service_config: ServiceConfig { call_duration: Millis(20), slots: 8 },
+            prompt_class: ClassPlan {
                 name: "rationale",
                 patience: Patience::Patient,
                 repeat: Repeat::NonIdempotent,
@@ -92,7 +92,7 @@
                     shared_blocks: 4,
                 },
             },
-            calls: ClassPlan {
+            call_class: ClassPlan {
                 name: "swatch-card",
                 patience: Patience::Interactive,
                 repeat: Repeat::Idempotent,
@@ -107,7 +107,7 @@
             goodput_weight: 2.0,
             waste_weight: 1.0,
             accounts: 30,
-            orphan: ORPHAN,
+            orphan_timeout: ORPHAN_TIMEOUT,
         }
     }
 
@@ -118,13 +118,13 @@
             data_centres: &["chag", "qpark", "piarco"],
             model: "guide-llm",
             service: "pass-desk",
-            prefills: 6,
-            decodes: 6,
-            services: 3,
+            prefill_runners: 6,
+            decode_runners: 6,
+            service_runners: 3,
             entries: 2,
-            engine: EngineConfig::default(),
-            plain: ServiceConfig { call_duration: Millis(30), slots: 6 },
-            prompts: ClassPlan {
+            engine_config: EngineConfig::default(),
+            service_config: ServiceConfig { call_duration: Millis(30), slots: 6 },
+            prompt_class: ClassPlan {
                 name: "summary",
                 patience: Patience::Patient,
                 repeat: Repeat::Idempotent,
@@ -138,7 +138,7 @@
                     shared_blocks: 4,
                 },
             },
-            calls: ClassPlan {
+            call_class: ClassPlan {
                 name: "pass-lookup",
                 patience: Patience::Interactive,
                 repeat: Repeat::NonIdempotent,
@@ -153,45 +153,48 @@
             goodput_weight: 1.0,
             waste_weight: 2.0,
             accounts: 12,
-            orphan: ORPHAN,
+            orphan_timeout: ORPHAN_TIMEOUT,
         }
     }
 
-    /// Prompts a second that the engines can serve, from their own settings, and what bounds it.
+    /// Capacity in prompts per second, estimated from the engines' configuration, and the
+    /// bottleneck.
     pub fn prompt_capacity(&self) -> (f64, &'static str) {
         let FlowKind::Prompts { prompt_tokens, answer_tokens, shared_blocks, .. } =
-            &self.prompts.kind
+            &self.prompt_class.kind
         else {
             return (0.0, "nothing");
         };
         let mean = |range: &(usize, usize)| (range.0 + range.1) as f64 / 2.0;
         let cached = (shared_blocks * bulrushusher_standin::prompt::BLOCK_TOKENS) as f64;
         let computed = (mean(prompt_tokens) - cached).max(0.0) as usize;
-        let prefill_ms = self.engine.prefill_time(computed).0 as f64;
-        let transfer_ms = self.engine.transfer_time(mean(prompt_tokens) as usize).0 as f64;
-        let decode_ms =
-            mean(answer_tokens) * self.engine.step_us(self.engine.slots) as f64 / 1000.0;
-        let prefill = self.prefills as f64 * 1000.0 / prefill_ms;
-        let link = self.prefills as f64 * 1000.0 / transfer_ms.max(1.0);
-        let places = (self.decodes * self.engine.slots) as f64;
-        let decode = places * 1000.0 / (decode_ms + transfer_ms);
-        let bounds = [(prefill, "prefill"), (link, "links"), (decode, "decode places")];
+        let prefill_ms = self.engine_config.prefill_time(computed).0 as f64;
+        let transfer_ms = self.engine_config.transfer_time(mean(prompt_tokens) as usize).0 as f64;
+        let decode_ms = mean(answer_tokens)
+            * self.engine_config.step_us(self.engine_config.slots) as f64
+            / 1000.0;
+        let prefill = self.prefill_runners as f64 * 1000.0 / prefill_ms;
+        let link = self.prefill_runners as f64 * 1000.0 / transfer_ms.max(1.0);
+        let slots = (self.decode_runners * self.engine_config.slots) as f64;
+        let decode = slots * 1000.0 / (decode_ms + transfer_ms);
+        let bounds = [(prefill, "prefill"), (link, "links"), (decode, "decode slots")];
         bounds.into_iter().min_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((0.0, "nothing"))
     }
 
-    /// Calls a second that the plain service can serve, from its own settings.
+    /// Capacity of the plain service in calls per second, estimated from its configuration.
     pub fn call_capacity(&self) -> f64 {
-        (self.services * self.plain.slots) as f64 * 1000.0 / self.plain.call_duration.0 as f64
+        (self.service_runners * self.service_config.slots) as f64 * 1000.0
+            / self.service_config.call_duration.0 as f64
     }
 
-    /// Calls a second at load 1.0: a part of the capacity, as the interactive traffic is not what
-    /// fills the closing.
+    /// Calls per second at load 1.0. A fraction of the capacity, as interactive traffic isn't the
+    /// bulk of a closing's load.
     pub fn call_rate(&self) -> f64 {
         const SHARE: f64 = 0.25;
         self.call_capacity() * SHARE
     }
 
-    /// The flows of requests at a load factor; 1.0 is the estimated capacity.
+    /// Flows of requests at a load factor, where 1.0 is the estimated capacity.
     pub fn flows(&self, load: f64) -> Vec<Flow> {
         let flow = |class: &ClassPlan, rate: f64| Flow {
             class: class.name.to_owned(),
@@ -201,8 +204,8 @@
             accounts: self.accounts,
         };
         vec![
-            flow(&self.prompts, self.prompt_capacity().0 * load),
-            flow(&self.calls, self.call_rate() * load),
+            flow(&self.prompt_class, self.prompt_capacity().0 * load),
+            flow(&self.call_class, self.call_rate() * load),
         ]
     }
 }
--- a/tools/bulrushusher_testbed/src/faults.rs
+++ b/tools/bulrushusher_testbed/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that a run can be put under.
+//! Faults that can be injected into a run.
 
 use std::time::Duration;
 
@@ -8,45 +8,45 @@
 use bulrushusher_world::Role;
 use derive_more::{Display, Error};
 
-use crate::bed::{Bed, BedError};
+use crate::testbed::{Testbed, TestbedError};
 
-/// A fault, brought about once at about a third of the run (some in a share of the requests).
+/// A fault, injected once after about a third of the run, or into a share of the requests.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Fault {
-    /// An entry is killed, and started again a little later.
+    /// An entry is killed and restarted 800 ms later.
     #[display("entry-crash")]
     EntryCrash,
-    /// A decode engine is killed, and started again a little later.
+    /// A decode engine is killed and restarted 800 ms later.
     #[display("runner-crash")]
     RunnerCrash,
-    /// The agent beside a decode engine is killed, and started again with empty memory.
+    /// The agent of a decode engine is killed and restarted with empty memory 400 ms later.
     #[display("agent-restart")]
     AgentRestart,
-    /// The store is down for a third of the run.
+    /// The store is unavailable for a third of the run.
     #[display("store-outage")]
     StoreOutage,
-    /// Open connections to two agents go silent for good.
+    /// Open connections to two agents are blackholed permanently.
     #[display("silent-connection")]
     SilentConnection,
-    /// Transfers out of a prefill engine stand still for longer than its results are held.
+    /// KV transfers out of a prefill engine stall for longer than it holds its results.
     #[display("stalled-transfer")]
     StalledTransfer,
-    /// One caller in ten goes away in the middle of its answer.
+    /// One caller in ten disconnects in the middle of its answer.
     #[display("client-cancel")]
     ClientCancel,
-    /// An entry is paused for longer than every time-to-live.
+    /// An entry is paused for longer than every TTL.
     #[display("paused-entry")]
     PausedEntry,
-    /// One request with a key in five is sent to two entries at once.
+    /// One in five requests with a key is sent to two entries at once.
     #[display("duplicate-requests")]
     DuplicateRequests,
 }
 
-/// The text names no fault.
+/// The text is not the name of a fault.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("`{given}` is no fault; give one of {known}")]
+#[display("unknown fault `{name}`; expected one of {known}")]
 pub struct UnknownFault {
-    given: String,
+    name: String,
     known: String,
 }
 
@@ -70,66 +70,76 @@
     fn try_from(text: &str) -> Result<Fault, UnknownFault> {
         let found = Fault::ALL.into_iter().find(|fault| fault.to_string() == text);
         found.ok_or_else(|| UnknownFault {
-            given: text.to_owned(),
+            name: text.to_owned(),
             known: Fault::ALL.map(|fault| fault.to_string()).join(", "),
         })
     }
 }
 
-/// How long a killed process stays away.
-const DOWN: Duration = Duration::from_millis(800);
-/// How long a paused entry stands still: longer than the reservations' time-to-live.
+/// Delay before a killed process is restarted.
+const DOWNTIME: Duration = Duration::from_millis(800);
+/// Duration of an entry's pause: longer than the TTL of reservations.
 const PAUSE: Duration = Duration::from_millis(3_500);
-/// How long a transfer stands still: longer than a prefill result is held.
+/// Duration of a transfer stall: longer than a prefill result is held.
 const STALL: Duration = Duration::from_millis(1_500);
 
-/// Brings one fault about, and undoes what is to be undone. `length` is the length of the run.
+/// Injects a fault and reverts it where it is temporary. `run_duration` is the duration of the run.
 ///
 /// # Errors
-/// [`BedError`] when a process cannot be started again.
-pub async fn bring_about(fault: Fault, bed: &mut Bed, length: Duration) -> Result<(), BedError> {
+/// [`TestbedError`] if a process cannot be restarted.
+pub async fn inject(
+    fault: Fault,
+    testbed: &mut Testbed,
+    run_duration: Duration,
+) -> Result<(), TestbedError> {
     match fault {
         Fault::EntryCrash => {
-            let last = bed.entries.len() - 1;
-            bed.entries[last].kill();
-            tokio::time::sleep(DOWN).await;
-            bed.entries[last].restart().await
+            let last = testbed.entries.len() - 1;
+            testbed.entries[last].kill();
+            tokio::time::sleep(DOWNTIME).await;
+            testbed.entries[last].restart().await
         }
         Fault::RunnerCrash => {
-            let at = bed.of_role(Role::Decode)[0];
-            bed.runners[at].kill_target();
-            tokio::time::sleep(DOWN).await;
-            bed.runners[at].restart_target().await
+            let at = testbed.runners_with_role(Role::Decode)[0];
+            testbed.runners[at].kill_target();
+            tokio::time::sleep(DOWNTIME).await;
+            testbed.runners[at].restart_target().await
         }
         Fault::AgentRestart => {
-            let at = bed.of_role(Role::Decode)[1];
-            bed.runners[at].kill_agent();
-            tokio::time::sleep(DOWN / 2).await;
-            bed.runners[at].restart_agent().await
+            let at = testbed.runners_with_role(Role::Decode)[1];
+            testbed.runners[at].kill_agent();
+            tokio::time::sleep(DOWNTIME / 2).await;
+            testbed.runners[at].restart_agent().await
         }
         Fault::StoreOutage => {
-            bed.store.set_faults(StoreFaults { outage: true, slow: Millis(0), lose_replies: 0 });
-            tokio::time::sleep(length / 3).await;
-            bed.store.set_faults(StoreFaults::default());
+            testbed.store.set_faults(StoreFaults {
+                outage: true,
+                slow: Millis(0),
+                lose_replies: 0,
+            });
+            tokio::time::sleep(run_duration / 3).await;
+            testbed.store.set_faults(StoreFaults::default());
             Ok(())
         }
         Fault::SilentConnection => {
-            bed.runners[bed.of_role(Role::Decode)[2]].silence();
-            bed.runners[bed.of_role(Role::Service)[0]].silence();
+            testbed.runners[testbed.runners_with_role(Role::Decode)[2]]
+                .blackhole_open_connections();
+            testbed.runners[testbed.runners_with_role(Role::Service)[0]]
+                .blackhole_open_connections();
             Ok(())
         }
         Fault::StalledTransfer => {
-            let at = bed.of_role(Role::Prefill)[0];
-            bed.runners[at].set_faults(Faults { stalled_link: true, ..Faults::default() });
+            let at = testbed.runners_with_role(Role::Prefill)[0];
+            testbed.runners[at].set_faults(Faults { stalled_link: true, ..Faults::default() });
             tokio::time::sleep(STALL).await;
-            bed.runners[at].set_faults(Faults::default());
+            testbed.runners[at].set_faults(Faults::default());
             Ok(())
         }
         Fault::PausedEntry => {
-            bed.entries[0].pause(PAUSE);
+            testbed.entries[0].pause(PAUSE);
             Ok(())
         }
-        // In a share of the requests; see the load.
+        // Applied to a share of the requests when the load is sent; see `run`.
         Fault::ClientCancel | Fault::DuplicateRequests => Ok(()),
     }
 }
--- a/tools/bulrushusher_testbed/src/lib.rs
+++ b/tools/bulrushusher_testbed/src/lib.rs
@@ -1,17 +1,17 @@
-//! Whole deployments in one process: every daemon and stand-in on real loopback sockets, each in a
-//! runtime of its own, so that one can be killed or paused without the others.
+//! Runs complete deployments in one process. Every daemon and stand-in uses real loopback sockets
+//! and its own async runtime, so that each can be killed or paused separately.
 //!
-//! Used by the `closing` example, the experiments and the tests.
+//! Used by the `closing` example, the experiment tool and the tests.
 
-pub mod bed;
 pub mod deployment;
 pub mod faults;
 pub mod node;
 pub mod outcome;
 pub mod run;
+pub mod testbed;
 
-pub use bed::Bed;
 pub use deployment::Deployment;
 pub use faults::Fault;
 pub use outcome::{Report, Totals};
 pub use run::{Plan, run};
+pub use testbed::Testbed;
--- a/tools/bulrushusher_testbed/src/node.rs
+++ b/tools/bulrushusher_testbed/src/node.rs
@@ -1,4 +1,4 @@
-//! One process of the deployment, played by a runtime of its own.
+//! A simulated process: an async runtime of its own.
 
 use std::future::Future;
 use std::time::Duration;
@@ -12,29 +12,29 @@
 }
 
 impl Node {
-    /// A node with one worker, which nothing runs on yet.
+    /// Creates an idle node with one worker thread.
     ///
     /// # Errors
-    /// What the system says, such as "too many threads".
+    /// The I/O error of creating the runtime, such as "too many threads".
     pub fn new(name: &str) -> std::io::Result<Node> {
         let runtime =
             Builder::new_multi_thread().worker_threads(1).thread_name(name).enable_all().build()?;
         Ok(Node { runtime: Some(runtime) })
     }
 
-    /// Runs a future on the node to its end.
+    /// Runs a future on the node and returns its output.
     ///
     /// # Panics
-    /// When the node was killed, or the future panics.
+    /// If the node was killed or the future panics.
     pub async fn run<T: Send + 'static>(
         &self,
-        work: impl Future<Output = T> + Send + 'static,
+        future: impl Future<Output = T> + Send + 'static,
     ) -> T {
-        let runtime = self.runtime.as_ref().expect("the node runs");
-        runtime.spawn(work).await.expect("the node's work does not panic")
+        let runtime = self.runtime.as_ref().expect("the node is alive");
+        runtime.spawn(future).await.expect("the future does not panic")
     }
 
-    /// Kills the node: every task is dropped and every socket closed, at whatever point it is.
+    /// Kills the node: drops its tasks wherever they are suspended and closes their sockets.
     pub fn kill(&mut self) {
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
@@ -46,10 +46,10 @@
         self.runtime.is_some()
     }
 
-    /// Stops the node's only worker for a while, as a paused process would be.
-    pub fn pause(&self, length: Duration) {
+    /// Blocks the node's only worker thread for `duration`, which simulates a paused process.
+    pub fn pause(&self, duration: Duration) {
         if let Some(runtime) = &self.runtime {
-            runtime.spawn(async move { std::thread::sleep(length) });
+            runtime.spawn(async move { std::thread::sleep(duration) });
         }
     }
 }
--- a/tools/bulrushusher_testbed/src/outcome.rs
+++ b/tools/bulrushusher_testbed/src/outcome.rs
@@ -1,4 +1,5 @@
-//! What a run came to, from the callers' and the runners' own records.
+//! Results of a run, computed from the callers' observations and the runners' counters rather than
+//! from the router's state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,37 +9,38 @@
 use comfy_table::{Table, presets};
 use serde::Serialize;
 
-/// Counters over a whole run. All but the first four and `outcome_unknown` are promises: they must
-/// be zero.
+/// Counters over a complete run. All but the first four and `outcome_unknown` count violations of a
+/// guarantee and must be zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Totals {
-    /// Requests that got past the entry's checks.
+    /// Requests accepted by an entry's admission checks.
     pub accepted: u64,
-    /// Requests answered whole.
+    /// Requests answered completely.
     pub answered: u64,
-    /// Requests refused as "not run".
+    /// Requests refused with a `not_run` error.
     pub refused_not_run: u64,
-    /// Requests whose callers went away, as planned.
+    /// Requests that their callers cancelled as scheduled.
     pub cancelled: u64,
-    /// Requests told that their outcome is unknown, or that they ran and the answer is gone.
+    /// Requests whose error reports an unknown outcome, or a run whose answer is lost.
     pub outcome_unknown: u64,
-    /// Requests of which a part came twice.
+    /// Requests with a part of their answer delivered twice.
     pub answered_twice: u64,
-    /// Requests neither answered whole nor told a typed error.
+    /// Requests with neither a complete answer nor a typed error.
     pub lost: u64,
-    /// Requests that got part of another's answer.
+    /// Requests that received part of another request's answer.
     pub crossed: u64,
-    /// Requests told "not run" that ran, by the runners' own records.
+    /// Requests that were reported as not run, but ran according to the runners' counters.
     pub refused_but_ran: u64,
-    /// Non-idempotent requests that ran more than once, by the runners' own records.
+    /// Non-idempotent requests that ran more than once according to the runners' counters.
     pub non_idempotent_ran_twice: u64,
-    /// Engine memory held after all was over, by the engines' own records.
+    /// Decode slots and prefill results still held after the run, according to the engines'
+    /// counters.
     pub slots_still_held: u64,
 }
 
 impl Totals {
-    /// The promise counters by name.
-    pub fn promises(&self) -> [(&'static str, u64); 6] {
+    /// The counters of guarantee violations, by name.
+    pub fn violations(&self) -> [(&'static str, u64); 6] {
         [
             ("answered_twice", self.answered_twice),
             ("lost", self.lost),
@@ -49,9 +51,9 @@
         ]
     }
 
-    /// True when every promise was kept.
-    pub fn kept(&self) -> bool {
-        self.promises().iter().all(|(_, count)| *count == 0)
+    /// True if no guarantee was violated.
+    pub fn guarantees_hold(&self) -> bool {
+        self.violations().iter().all(|(_, count)| *count == 0)
     }
 
     /// Adds the counters of another run.
@@ -70,38 +72,38 @@
     }
 }
 
-/// How one request came out.
+/// A completed request and its outcome.
 #[derive(Clone, Debug)]
-pub struct Ended {
-    /// Its key, if it had one.
+pub struct CompletedRequest {
+    /// Idempotency key, if any.
     pub key: Option<String>,
     /// Whether it may run more than once.
     pub idempotent: bool,
-    /// What its caller saw.
+    /// Outcome observed by the caller.
     pub outcome: Outcome,
 }
 
-/// Counts requests by what their callers saw and the runners counted.
+/// Accumulates the outcomes of requests and compares them with the runners' counters.
 #[derive(Debug, Default)]
 pub struct Tally {
     totals: Totals,
     causes: BTreeMap<String, u64>,
     non_idempotent: BTreeSet<String>,
-    told_not_run: BTreeSet<String>,
+    reported_not_run: BTreeSet<String>,
 }
 
-/// Refusals of requests that never got past the entry's checks.
+/// Error codes of requests rejected by an entry's admission checks.
 const NOT_ACCEPTED: &[&str] = &["account_limit", "shutting_down"];
 
 impl Tally {
-    /// Counts one request.
-    pub fn note(&mut self, ended: &Ended) {
-        if let (Some(key), false) = (&ended.key, ended.idempotent) {
+    /// Records a completed request.
+    pub fn record(&mut self, completed: &CompletedRequest) {
+        if let (Some(key), false) = (&completed.key, completed.idempotent) {
             self.non_idempotent.insert(key.clone());
         }
         let totals = &mut self.totals;
         totals.accepted += 1;
-        match &ended.outcome {
+        match &completed.outcome {
             Outcome::Answered { .. } => totals.answered += 1,
             Outcome::Cancelled => totals.cancelled += 1,
             Outcome::Lost { cause } => {
@@ -119,13 +121,14 @@
                     totals.outcome_unknown += 1;
                 } else {
                     totals.refused_not_run += 1;
-                    self.told_not_run.extend(ended.key.clone());
+                    self.reported_not_run.extend(completed.key.clone());
                 }
             }
         }
     }
 
-    /// The counters, with the runners' own records and the memory held at the end.
+    /// The totals, given the runners' counters and the number of slots and prefill results still
+    /// held.
     pub fn totals(&self, counts: &[Counts], held: usize) -> Totals {
         let mut runs: BTreeMap<&str, u64> = BTreeMap::new();
         for (key, count) in counts.iter().flat_map(|counts| &counts.keys) {
@@ -133,7 +136,7 @@
         }
         let ran = |key: &String| runs.get(key.as_str()).copied().unwrap_or(0);
         Totals {
-            refused_but_ran: self.told_not_run.iter().filter(|key| ran(key) > 0).count() as u64,
+            refused_but_ran: self.reported_not_run.iter().filter(|key| ran(key) > 0).count() as u64,
             non_idempotent_ran_twice: self.non_idempotent.iter().filter(|key| ran(key) > 1).count()
                 as u64,
             slots_still_held: held as u64,
@@ -141,57 +144,58 @@
         }
     }
 
-    /// What the refused and lost requests were told, with how often.
+    /// Number of refused and lost requests by error or cause.
     pub fn causes(&self) -> &BTreeMap<String, u64> {
         &self.causes
     }
 }
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The counters.
+    /// Counters over the run.
     #[serde(flatten)]
     pub totals: Totals,
-    /// Requests answered within both targets per second of the run.
+    /// Requests answered within both latency targets, per second of the run.
     pub goodput: f64,
-    /// Share of prefilled prompt tokens discarded before use, 0 to 1.
+    /// Share of the prefilled prompt tokens that were discarded before use, 0 to 1.
     pub wasted_prefill: f64,
-    /// The policy.
+    /// Routing policy.
     pub policy: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Load factor; 1.0 is the estimated capacity.
+    /// Load factor, where 1.0 is the estimated capacity.
     pub load: f64,
-    /// Figures per class.
+    /// Results per deliverable class.
     pub classes: Vec<ClassReport>,
-    /// What the refused and lost requests were told, with how often.
+    /// Number of refused and lost requests by error or cause.
     pub causes: BTreeMap<String, u64>,
 }
 
 impl Report {
-    /// One report of several deployments run side by side.
+    /// Merges the reports of deployments that ran concurrently. Each report comes with the number
+    /// of prompt tokens prefilled, by which `wasted_prefill` is weighted.
     ///
     /// # Panics
-    /// When there is no report.
-    pub fn join(reports: Vec<(Report, u64)>) -> Report {
+    /// If `reports` is empty.
+    pub fn merge(reports: Vec<(Report, u64)>) -> Report {
         let prefilled: u64 = reports.iter().map(|(_, tokens)| tokens).sum();
         let wasted: f64 = reports.iter().map(|(r, tokens)| r.wasted_prefill * *tokens as f64).sum();
         let mut reports = reports.into_iter().map(|(report, _)| report);
-        let mut joined = reports.next().expect("at least one report");
+        let mut merged = reports.next().expect("at least one report");
         for report in reports {
-            joined.totals.add(&report.totals);
-            joined.goodput += report.goodput;
-            joined.classes.extend(report.classes);
+            merged.totals.add(&report.totals);
+            merged.goodput += report.goodput;
+            merged.classes.extend(report.classes);
             for (cause, count) in report.causes {
-                *joined.causes.entry(cause).or_default() += count;
+                *merged.causes.entry(cause).or_default() += count;
             }
         }
-        joined.wasted_prefill = wasted / prefilled.max(1) as f64;
-        joined
+        merged.wasted_prefill = wasted / prefilled.max(1) as f64;
+        merged
     }
 
-    /// A table for people.
+    /// Formats the results per class as a text table.
     pub fn table(&self) -> String {
         let mut table = Table::new();
         table.load_preset(presets::UTF8_FULL_CONDENSED);
--- a/tools/bulrushusher_testbed/src/run.rs
+++ b/tools/bulrushusher_testbed/src/run.rs
@@ -1,4 +1,4 @@
-//! A run: a deployment under load and faults, from start to report.
+//! Runs a deployment under load and faults, and reports the results.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,188 +14,192 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::bed::{Bed, BedError};
 use crate::deployment::Deployment;
-use crate::faults::{Fault, bring_about};
-use crate::outcome::{Ended, Report, Tally};
+use crate::faults::{Fault, inject};
+use crate::outcome::{CompletedRequest, Report, Tally};
+use crate::testbed::{Testbed, TestbedError};
 
-/// How long memory may stay held after the last request, before it counts as held for good. More
-/// than the agents' orphan bound.
-const RELEASE_BOUND: Duration = Duration::from_secs(12);
-const RELEASE_POLL: Duration = Duration::from_millis(100);
-/// Pause between the start of the deployment and the load; more than the agents' clock skew.
-const SETTLE: Duration = Duration::from_millis(400);
-/// How long after the load ends the last requests may take.
-const TAIL_BOUND: Duration = Duration::from_secs(150);
+/// How long engine memory may stay held after the last request before it counts as leaked. Longer
+/// than the agents' orphan timeout.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(12);
+const RELEASE_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay between the start of the deployment and the load; longer than the agents' clock skew.
+const START_DELAY: Duration = Duration::from_millis(400);
+/// How long requests in flight at the end of the load may take to complete.
+const COMPLETION_TIMEOUT: Duration = Duration::from_secs(150);
 
-/// What to run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Seed of the load, the choices and the stand-ins.
+    /// Seed of the load, the routing decisions and the stand-ins.
     pub seed: u64,
-    /// Length of the load.
-    pub length: Millis,
-    /// Load factor; 1.0 is the estimated capacity.
+    /// Duration of the load.
+    pub duration: Millis,
+    /// Load factor, where 1.0 is the estimated capacity.
     pub load: f64,
-    /// The policy.
+    /// Routing policy.
     pub policy: Policy,
-    /// Faults to bring about.
+    /// Faults to inject.
     pub faults: Vec<Fault>,
 }
 
-/// Progress of a run, for those who watch it.
+/// Progress of one or more runs, updated while they run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Progress {
     /// Requests sent.
     pub sent: u64,
-    /// Requests that came out.
-    pub ended: u64,
-    /// Requests planned.
-    pub planned: u64,
+    /// Requests completed.
+    pub completed: u64,
+    /// Requests scheduled.
+    pub scheduled: u64,
 }
 
 #[derive(Debug)]
-struct Collected {
+struct Results {
     tally: Tally,
     figures: Vec<ClassFigures>,
 }
 
-/// Runs a deployment under a plan. Returns the report, and the prompt tokens that were prefilled.
+/// Runs a deployment and returns the report and the number of prompt tokens prefilled.
 ///
 /// # Errors
-/// [`BedError`] when the deployment cannot be started.
+/// [`TestbedError`] if the deployment cannot be started or a fault cannot be injected.
 pub async fn run(
     deployment: Deployment,
-    plan_of_run: &Plan,
+    plan: &Plan,
     progress: Arc<Mutex<Progress>>,
-) -> Result<(Report, u64), BedError> {
-    let Plan { seed, length, load, policy, ref faults } = *plan_of_run;
-    let mut bed = Bed::start(deployment.clone(), policy, seed).await?;
-    // Keys minted within the clock skew of the agents' start would be in doubt.
-    sleep(SETTLE).await;
+) -> Result<(Report, u64), TestbedError> {
+    let Plan { seed, duration, load, policy, ref faults } = *plan;
+    let mut testbed = Testbed::start(deployment.clone(), policy, seed).await?;
+    // The agents cannot tell whether a key created within the clock skew of their start has run.
+    sleep(START_DELAY).await;
     let flows = deployment.flows(load);
-    let mut planned = schedule(&flows, length, seed);
+    let mut scheduled = schedule(&flows, duration, seed);
     if faults.contains(&Fault::ClientCancel) {
-        plan_cancels(&mut planned, seed);
+        schedule_cancellations(&mut scheduled, seed);
     }
-    progress.lock().planned += planned.len() as u64;
-    let targets = [&deployment.prompts, &deployment.calls];
-    let figures = targets
+    progress.lock().scheduled += scheduled.len() as u64;
+    let classes = [&deployment.prompt_class, &deployment.call_class];
+    let figures = classes
         .map(|class| {
             let targets = Targets { ttft: class.ttft, per_token: class.per_token };
             ClassFigures::new(class.name, targets)
         })
         .to_vec();
-    let collected = Arc::new(Mutex::new(Collected { tally: Tally::default(), figures }));
-    let caller = Caller::new(bed.callers());
+    let results = Arc::new(Mutex::new(Results { tally: Tally::default(), figures }));
+    let caller = Caller::new(testbed.callers());
     let duplicates = faults.contains(&Fault::DuplicateRequests);
     let sender =
-        Sender { caller, flows, duplicates, seed, collected: Arc::clone(&collected), progress };
-    let sending = tokio::spawn(sender.send_all(planned));
-    let brought = bring_all_about(&mut bed, faults, length.duration()).await;
-    let finished = tokio::time::timeout(length.duration() + TAIL_BOUND, sending).await;
+        LoadSender { caller, flows, duplicates, seed, results: Arc::clone(&results), progress };
+    let load_task = tokio::spawn(sender.send_all(scheduled));
+    let injected = inject_all(&mut testbed, faults, duration.duration()).await;
+    let finished = tokio::time::timeout(duration.duration() + COMPLETION_TIMEOUT, load_task).await;
     if finished.is_err() {
-        log::error!("testbed: requests are still open long after the load, counted as lost");
+        log::error!(
+            "testbed: requests are still in flight {} s after the load and missing from the report",
+            COMPLETION_TIMEOUT.as_secs()
+        );
     }
-    brought?;
-    let held = wait_released(&bed).await;
-    Ok(report(&bed, &collected.lock(), plan_of_run, held))
+    injected?;
+    let held = wait_released(&testbed).await;
+    Ok(report(&testbed, &results.lock(), plan, held))
 }
 
-async fn bring_all_about(
-    bed: &mut Bed,
+async fn inject_all(
+    testbed: &mut Testbed,
     faults: &[Fault],
-    length: Duration,
-) -> Result<(), BedError> {
-    sleep(length / 3).await;
+    run_duration: Duration,
+) -> Result<(), TestbedError> {
+    sleep(run_duration / 3).await;
     for fault in faults {
-        log::info!("testbed: fault {fault}");
-        bring_about(*fault, bed, length).await?;
+        log::info!("testbed: injecting fault {fault}");
+        inject(*fault, testbed, run_duration).await?;
     }
     Ok(())
 }
 
-fn plan_cancels(planned: &mut [ScheduledRequest], seed: u64) {
+fn schedule_cancellations(scheduled: &mut [ScheduledRequest], seed: u64) {
     const SHARE: f64 = 0.1;
     const MAX_TOKENS: usize = 40;
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xca);
-    for request in planned {
+    for item in scheduled {
         if rng.random_bool(SHARE) {
-            request.request.cancel_after = Some(rng.random_range(1..MAX_TOKENS));
+            item.request.cancel_after = Some(rng.random_range(1..MAX_TOKENS));
         }
     }
 }
 
-async fn wait_released(bed: &Bed) -> usize {
-    let end = Instant::now() + RELEASE_BOUND;
+async fn wait_released(testbed: &Testbed) -> usize {
+    let deadline = Instant::now() + RELEASE_TIMEOUT;
     loop {
-        let held = bed.held();
-        if held == 0 || Instant::now() > end {
+        let held = testbed.held();
+        if held == 0 || Instant::now() > deadline {
             return held;
         }
-        sleep(RELEASE_POLL).await;
+        sleep(RELEASE_POLL_INTERVAL).await;
     }
 }
 
 #[derive(Clone, Debug)]
-struct Sender {
+struct LoadSender {
     caller: Caller,
     flows: Vec<bulrushusher_standin::load::Flow>,
     duplicates: bool,
     seed: u64,
-    collected: Arc<Mutex<Collected>>,
+    results: Arc<Mutex<Results>>,
     progress: Arc<Mutex<Progress>>,
 }
 
-impl Sender {
-    async fn send_all(self, planned: Vec<ScheduledRequest>) {
+impl LoadSender {
+    async fn send_all(self, scheduled: Vec<ScheduledRequest>) {
         const DUPLICATE_SHARE: f64 = 0.2;
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0xd0);
         let start = Instant::now();
-        let mut open = JoinSet::new();
-        for (number, mut request) in planned.into_iter().enumerate() {
-            sleep_until(start + request.at.duration()).await;
-            // The key carries the time of its sending.
-            request.request.key = request.request.key.map(|_| fresh_key());
-            let is_twin = self.duplicates && rng.random_bool(DUPLICATE_SHARE);
-            if is_twin && request.request.key.is_some() {
-                open.spawn(self.clone().send(request.flow, request.request.clone(), number + 1));
+        let mut in_flight = JoinSet::new();
+        for (number, item) in scheduled.into_iter().enumerate() {
+            let ScheduledRequest { at, flow, mut request } = item;
+            sleep_until(start + at.duration()).await;
+            // Keys contain their creation time, so each is generated when its request is sent.
+            request.key = request.key.map(|_| fresh_key());
+            let is_duplicated = self.duplicates && rng.random_bool(DUPLICATE_SHARE);
+            if is_duplicated && request.key.is_some() {
+                in_flight.spawn(self.clone().send(flow, request.clone(), number + 1));
             }
-            open.spawn(self.clone().send(request.flow, request.request, number));
-            while open.try_join_next().is_some() {}
+            in_flight.spawn(self.clone().send(flow, request, number));
+            while in_flight.try_join_next().is_some() {}
         }
-        while open.join_next().await.is_some() {}
+        while in_flight.join_next().await.is_some() {}
     }
 
-    async fn send(self, flow: usize, call: Request, entry: usize) {
+    async fn send(self, flow: usize, request: Request, entry: usize) {
         self.progress.lock().sent += 1;
-        let outcome = self.caller.send(&call, entry).await;
-        self.progress.lock().ended += 1;
-        let mut collected = self.collected.lock();
-        collected.figures[flow].accepted();
+        let outcome = self.caller.send(&request, entry).await;
+        self.progress.lock().completed += 1;
+        let mut results = self.results.lock();
+        results.figures[flow].accepted();
         if let Outcome::Answered { ttft, per_token_ms } = &outcome {
-            collected.figures[flow].answered(*ttft, *per_token_ms);
+            results.figures[flow].answered(*ttft, *per_token_ms);
         }
         let idempotent = self.flows[flow].idempotent;
-        collected.tally.note(&Ended { key: call.key, idempotent, outcome });
+        results.tally.record(&CompletedRequest { key: request.key, idempotent, outcome });
     }
 }
 
-fn report(bed: &Bed, collected: &Collected, plan: &Plan, held: usize) -> (Report, u64) {
-    let seconds = plan.length.0 as f64 / 1000.0;
-    let counts = bed.counts();
+fn report(testbed: &Testbed, results: &Results, plan: &Plan, held: usize) -> (Report, u64) {
+    let seconds = plan.duration.0 as f64 / 1000.0;
+    let counts = testbed.counts();
     let prefilled: u64 = counts.iter().map(|counts| counts.prefilled_tokens).sum();
     let wasted: u64 = counts.iter().map(|counts| counts.wasted_tokens).sum();
-    let classes: Vec<_> = collected.figures.iter().map(|f| f.report(seconds)).collect();
+    let classes: Vec<_> = results.figures.iter().map(|f| f.report(seconds)).collect();
     let report = Report {
-        totals: collected.tally.totals(&counts, held),
+        totals: results.tally.totals(&counts, held),
         goodput: classes.iter().map(|class| class.goodput).sum(),
         wasted_prefill: wasted as f64 / prefilled.max(1) as f64,
         policy: plan.policy.to_string(),
         seed: plan.seed,
         load: plan.load,
         classes,
-        causes: collected.tally.causes().clone(),
+        causes: results.tally.causes().clone(),
     };
     (report, prefilled)
 }
--- a/tools/bulrushusher_testbed/src/bed.rs
+++ b/tools/bulrushusher_testbed/src/testbed.rs
@@ -1,4 +1,4 @@
-//! A running deployment: store, runners, agents, entries.
+//! A running deployment: store, runners, agents and entries.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -20,34 +20,34 @@
 use crate::deployment::{ClassPlan, Deployment};
 use crate::node::Node;
 
-/// Why a deployment could not be started or used.
+/// Why a deployment could not be started or controlled.
 #[derive(Debug, Display, Error, From)]
-pub enum BedError {
-    /// The system refused something.
-    #[display("the system refused: {_0}")]
-    System(std::io::Error),
+pub enum TestbedError {
+    /// An I/O error, such as of binding a listener or starting a runtime.
+    #[display("I/O error: {_0}")]
+    Io(std::io::Error),
     /// An operator call failed.
     #[display("an operator call failed: {_0}")]
     Operator(tonic::Status),
-    /// An entry could not be reached.
-    #[display("an entry could not be reached: {_0}")]
+    /// The connection to an entry failed.
+    #[display("cannot connect to an entry: {_0}")]
     Transport(tonic::transport::Error),
-    /// A name or field is not valid.
+    /// A name or field is invalid.
     #[display("{_0}")]
-    World(ValidationError),
-    /// The configuration was not in force in time.
-    #[display("the configuration was not in force everywhere in time")]
+    Validation(ValidationError),
+    /// The configuration was not in force at every entry in time.
+    #[display("the configuration was not in force at every entry in time")]
     #[from(ignore)]
-    NotInForce,
+    ConfigurationTimeout,
 }
 
-/// How long the configuration may take to be in force before a run is given up.
-const IN_FORCE_BOUND: Duration = Duration::from_secs(10);
-const POLL: Duration = Duration::from_millis(20);
-/// Prompts in work, leaving or next in line at one prefill engine.
-const PREFILL_PLACES: usize = 3;
+/// How long the configuration may take to be in force at all entries before a run fails.
+const CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Slots of a prefill engine: one prompt each being computed, exported and queued.
+const PREFILL_SLOTS: usize = 3;
 
-/// Any port on loopback.
+/// The loopback address with port 0, which picks a free port.
 pub fn loopback() -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0)
 }
@@ -58,12 +58,12 @@
     Plain(PlainService),
 }
 
-/// One endpoint: its runner, its agent, and the relays before the agent.
+/// An endpoint: a runner, its agent, and the relays in front of the agent.
 #[derive(Debug)]
 pub struct Runner {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: String,
-    /// Its role.
+    /// Role of the endpoint.
     pub role: Role,
     target_node: Node,
     target: Option<Target>,
@@ -75,26 +75,26 @@
     stream_relay: Relay,
     data_centre: String,
     engine_cfg: EngineConfig,
-    /// What earlier lives of the runner counted.
-    past: Vec<Counts>,
+    /// Counters of the runner's earlier processes.
+    previous_counts: Vec<Counts>,
 }
 
 impl Runner {
-    /// Kills the runner (not its agent). Its own records are kept.
+    /// Kills the runner but not its agent. The runner's counters are kept.
     pub fn kill_target(&mut self) {
         self.target_node.kill();
         if let Some(mut counts) = self.target.take().map(|target| target.counts()) {
             counts.held_places = 0;
             counts.held_kv = 0;
-            self.past.push(counts);
+            self.previous_counts.push(counts);
         }
     }
 
-    /// Starts the runner again at its address, with empty memory.
+    /// Restarts the runner, which must be an engine, at its address with empty memory.
     ///
     /// # Errors
-    /// What the system says.
-    pub async fn restart_target(&mut self) -> Result<(), BedError> {
+    /// [`TestbedError::Io`] if the runtime or the listener cannot be created.
+    pub async fn restart_target(&mut self) -> Result<(), TestbedError> {
         self.target_node = Node::new("engine")?;
         let (addr, cfg) = (self.target_addr, self.engine_cfg.clone());
         let engine = self.target_node.run(async move { Engine::start(addr, cfg) }).await?;
@@ -108,48 +108,53 @@
         self.agent = None;
     }
 
-    /// Starts the agent again at its addresses, with empty memory.
+    /// Restarts the agent at its addresses with empty memory.
     ///
     /// # Errors
-    /// What the system says.
-    pub async fn restart_agent(&mut self) -> Result<(), BedError> {
+    /// [`TestbedError::Io`] if the runtime or a listener cannot be created.
+    pub async fn restart_agent(&mut self) -> Result<(), TestbedError> {
         self.agent_node = Node::new("agent")?;
         let cfg = self.agent_cfg.clone();
         self.agent = Some(self.agent_node.run(async move { Agent::start(cfg).await }).await?);
         Ok(())
     }
 
-    /// Open connections to the agent go silent for good; new ones work.
-    pub fn silence(&self) {
+    /// Permanently blackholes the open connections to the agent; new connections work.
+    pub fn blackhole_open_connections(&self) {
         self.control_relay.blackhole_open_connections();
         self.stream_relay.blackhole_open_connections();
     }
 
-    /// Switches the engine's faults.
+    /// Replaces the injected faults of an engine; no effect on a plain service.
     pub fn set_faults(&self, faults: Faults) {
         if let Some(Target::Engine(engine)) = &self.target {
             engine.set_faults(faults);
         }
     }
 
-    /// A plain service refuses all calls for that long, and says so.
-    pub fn refuse_for(&self, length: Duration) {
+    /// Makes a plain service reject all calls for `duration`, with status 503 and a `retry-after`
+    /// header; no effect on an engine.
+    pub fn reject_for(&self, duration: Duration) {
         if let Some(Target::Plain(service)) = &self.target {
-            service.reject_for(length);
+            service.reject_for(duration);
         }
     }
 
-    /// Calls that a plain service refused.
-    pub fn refused(&self) -> usize {
+    /// Number of calls rejected by a plain service; 0 for an engine.
+    pub fn rejected_calls(&self) -> usize {
         match &self.target {
             Some(Target::Plain(service)) => service.rejected_calls(),
             Some(Target::Engine(_)) | None => 0,
         }
     }
 
-    /// The runner's own records, over all its lives.
+    /// Counters of the runner, one item per process start.
     pub fn counts(&self) -> Vec<Counts> {
-        self.past.iter().cloned().chain(self.target.as_ref().map(Target::counts)).collect()
+        self.previous_counts
+            .iter()
+            .cloned()
+            .chain(self.target.as_ref().map(Target::counts))
+            .collect()
     }
 }
 
@@ -162,7 +167,7 @@
     }
 }
 
-/// An entry with its node.
+/// An entry and the node that it runs on.
 #[derive(Debug)]
 pub struct EntryNode {
     node: Node,
@@ -177,20 +182,20 @@
         self.entry = None;
     }
 
-    /// Starts the entry again at its addresses, with empty memory.
+    /// Restarts the entry at its addresses with empty memory.
     ///
     /// # Errors
-    /// What the system says.
-    pub async fn restart(&mut self) -> Result<(), BedError> {
+    /// [`TestbedError::Io`] if the runtime or a listener cannot be created.
+    pub async fn restart(&mut self) -> Result<(), TestbedError> {
         self.node = Node::new("entry")?;
         let cfg = self.cfg.clone();
         self.entry = Some(self.node.run(async move { Entry::start(cfg).await }).await?);
         Ok(())
     }
 
-    /// Pauses the entry.
-    pub fn pause(&self, length: Duration) {
-        self.node.pause(length);
+    /// Pauses the entry for `duration`.
+    pub fn pause(&self, duration: Duration) {
+        self.node.pause(duration);
     }
 
     /// Shuts the entry down gracefully.
@@ -203,31 +208,36 @@
 
 /// A running deployment.
 #[derive(Debug)]
-pub struct Bed {
-    /// What it plays.
+pub struct Testbed {
+    /// The deployment's parameters.
     pub deployment: Deployment,
     /// The store.
     pub store: Arc<Store>,
-    /// Every endpoint.
+    /// Runners of all endpoints.
     pub runners: Vec<Runner>,
-    /// Every entry.
+    /// All entries.
     pub entries: Vec<EntryNode>,
     _store_node: Node,
 }
 
-impl Bed {
-    /// Starts every process of a deployment and configures it by operators' RPC.
+impl Testbed {
+    /// Starts all processes of a deployment, configures it through the operators' RPC and waits
+    /// until the configuration is in force.
     ///
     /// # Errors
-    /// [`BedError`].
-    pub async fn start(deployment: Deployment, policy: Policy, seed: u64) -> Result<Bed, BedError> {
+    /// [`TestbedError`] if a process cannot be started or the configuration fails.
+    pub async fn start(
+        deployment: Deployment,
+        policy: Policy,
+        seed: u64,
+    ) -> Result<Testbed, TestbedError> {
         let store_node = Node::new("store")?;
         let store = Arc::new(store_node.run(async { Store::start(loopback()) }).await?);
         let mut runners = Vec::new();
         let pools = [
-            (Role::Prefill, deployment.prefills),
-            (Role::Decode, deployment.decodes),
-            (Role::Service, deployment.services),
+            (Role::Prefill, deployment.prefill_runners),
+            (Role::Decode, deployment.decode_runners),
+            (Role::Service, deployment.service_runners),
         ];
         for (role, count) in pools {
             for number in 0..count {
@@ -239,32 +249,32 @@
             let cfg = entry_config(&deployment, store.addr, number, policy, seed)?;
             entries.push(start_entry(cfg).await?);
         }
-        let bed = Bed { deployment, store, runners, entries, _store_node: store_node };
-        bed.configure().await?;
-        Ok(bed)
+        let testbed = Testbed { deployment, store, runners, entries, _store_node: store_node };
+        testbed.configure().await?;
+        Ok(testbed)
     }
 
-    /// Where callers reach the entries.
+    /// Caller addresses of the entries.
     pub fn callers(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(|entry| entry.cfg.callers).collect()
     }
 
-    /// An operator's connection to entry number `n`.
+    /// Connects an operator client to entry number `n`.
     ///
     /// # Errors
-    /// [`BedError::Transport`] when it does not answer.
-    pub async fn operator(&self, n: usize) -> Result<OperatorClient<Channel>, BedError> {
+    /// [`TestbedError::Transport`] if the connection fails.
+    pub async fn operator(&self, n: usize) -> Result<OperatorClient<Channel>, TestbedError> {
         let addr = self.entries[n].cfg.operators;
         Ok(OperatorClient::connect(format!("http://{addr}")).await?)
     }
 
-    /// Runners of a role.
-    pub fn of_role(&self, role: Role) -> Vec<usize> {
-        let wanted = |(at, runner): (usize, &Runner)| (runner.role == role).then_some(at);
-        self.runners.iter().enumerate().filter_map(wanted).collect()
+    /// Indices of the runners with a role.
+    pub fn runners_with_role(&self, role: Role) -> Vec<usize> {
+        let index_if_match = |(at, runner): (usize, &Runner)| (runner.role == role).then_some(at);
+        self.runners.iter().enumerate().filter_map(index_if_match).collect()
     }
 
-    async fn configure(&self) -> Result<(), BedError> {
+    async fn configure(&self) -> Result<(), TestbedError> {
         let mut operator = self.operator(0).await?;
         let mut revision = 0;
         let closing = closing_message(&self.deployment);
@@ -303,36 +313,37 @@
         }
     }
 
-    /// Waits until every entry has the revision in force and has heard from every endpoint.
+    /// Waits until every entry has at least `revision` of the configuration in force and has
+    /// received a reply from every endpoint.
     ///
     /// # Errors
-    /// [`BedError::NotInForce`] when that takes too long.
-    pub async fn wait_in_force(&self, revision: u64) -> Result<(), BedError> {
-        let end = tokio::time::Instant::now() + IN_FORCE_BOUND;
+    /// [`TestbedError::ConfigurationTimeout`] if that takes more than 10 s in total.
+    pub async fn wait_in_force(&self, revision: u64) -> Result<(), TestbedError> {
+        let deadline = tokio::time::Instant::now() + CONFIGURATION_TIMEOUT;
         for number in 0..self.entries.len() {
             let mut operator = self.operator(number).await?;
             loop {
                 let status = operator.status(v1::StatusRequest {}).await?.into_inner();
-                let heard = status.endpoints.iter().all(|e| e.heard_ms_ago != u64::MAX);
-                let known = status.endpoints.len() == self.runners.len();
-                if status.revision >= revision && heard && known {
+                let all_reachable = status.endpoints.iter().all(|e| e.heard_ms_ago != u64::MAX);
+                let all_listed = status.endpoints.len() == self.runners.len();
+                if status.revision >= revision && all_reachable && all_listed {
                     break;
                 }
-                if tokio::time::Instant::now() > end {
-                    return Err(BedError::NotInForce);
+                if tokio::time::Instant::now() > deadline {
+                    return Err(TestbedError::ConfigurationTimeout);
                 }
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// The runners' own records, over all their lives.
+    /// Counters of all runners, one item per process start.
     pub fn counts(&self) -> Vec<Counts> {
         self.runners.iter().flat_map(Runner::counts).collect()
     }
 
-    /// Engine memory held now, by the engines' own records: decode places and prefill results.
+    /// Number of slots in use and prefill results held, according to the runners' counters.
     pub fn held(&self) -> usize {
         let held = |counts: &Counts| counts.held_places + counts.held_kv;
         self.counts().iter().map(held).sum()
@@ -356,7 +367,7 @@
         starts_unix_ms: now.0 - WEEK,
         ends_unix_ms: now.0 + WEEK,
         services: vec![deployment.model.to_owned(), deployment.service.to_owned()],
-        classes: vec![class(&deployment.prompts), class(&deployment.calls)],
+        classes: vec![class(&deployment.prompt_class), class(&deployment.call_class)],
         goodput_weight: deployment.goodput_weight,
         waste_weight: deployment.waste_weight,
     }
@@ -367,19 +378,19 @@
     role: Role,
     number: usize,
     seed: u64,
-) -> Result<Runner, BedError> {
+) -> Result<Runner, TestbedError> {
     let data_centre = deployment.data_centres[number % deployment.data_centres.len()];
     let name = format!("{data_centre}-{role}-{number}");
     let target_node = Node::new("runner")?;
     let engine_cfg =
-        EngineConfig { seed: seed.wrapping_add(number as u64), ..deployment.engine.clone() };
+        EngineConfig { seed: seed.wrapping_add(number as u64), ..deployment.engine_config.clone() };
     let target = match role {
         Role::Prefill | Role::Decode => {
             let cfg = engine_cfg.clone();
             Target::Engine(target_node.run(async move { Engine::start(loopback(), cfg) }).await?)
         }
         Role::Service => {
-            let cfg = deployment.plain.clone();
+            let cfg = deployment.service_config.clone();
             let start = async move { PlainService::start(loopback(), cfg) };
             Target::Plain(target_node.run(start).await?)
         }
@@ -388,10 +399,10 @@
         Target::Engine(engine) => engine.addr,
         Target::Plain(service) => service.addr,
     };
-    let (service, places) = match role {
-        Role::Prefill => (deployment.model, PREFILL_PLACES),
-        Role::Decode => (deployment.model, deployment.engine.slots),
-        Role::Service => (deployment.service, deployment.plain.slots),
+    let (service, slots) = match role {
+        Role::Prefill => (deployment.model, PREFILL_SLOTS),
+        Role::Decode => (deployment.model, deployment.engine_config.slots),
+        Role::Service => (deployment.service, deployment.service_config.slots),
     };
     let mut agent_cfg = AgentConfig {
         name: name.as_str().try_into().map_err(ValidationError::from)?,
@@ -401,14 +412,14 @@
         control: loopback(),
         stream: loopback(),
         target: target_addr,
-        admission: AdmissionConfig { slots: places, ..AdmissionConfig::default() },
+        admission: AdmissionConfig { slots, ..AdmissionConfig::default() },
         horizon: Millis(600_000),
         skew: Millis(200),
         max_keys: 100_000,
         max_answer_bytes: 32 << 20,
         heartbeat_interval: Millis(200),
         idle_timeout: Millis(1_000),
-        orphan_timeout: deployment.orphan,
+        orphan_timeout: deployment.orphan_timeout,
         drain_timeout: Millis(60_000),
     };
     let agent_node = Node::new("agent")?;
@@ -417,7 +428,7 @@
     agent_cfg.control = agent.control;
     agent_cfg.stream = agent.stream;
     let (control, stream) = (agent.control, agent.stream);
-    // The relays outlive the agent's lives, so they do not run on its node.
+    // The relays run outside the agent's node, so that they survive when the agent is killed.
     let control_relay = Relay::start(loopback(), control)?;
     let stream_relay = Relay::start(loopback(), stream)?;
     Ok(Runner {
@@ -433,7 +444,7 @@
         stream_relay,
         data_centre: data_centre.to_owned(),
         engine_cfg,
-        past: Vec::new(),
+        previous_counts: Vec::new(),
     })
 }
 
@@ -443,7 +454,7 @@
     number: usize,
     policy: Policy,
     seed: u64,
-) -> Result<EntryConfig, BedError> {
+) -> Result<EntryConfig, TestbedError> {
     let data_centre = deployment.data_centres[number % deployment.data_centres.len()];
     let name = format!("{data_centre}-entry-{number}");
     Ok(EntryConfig {
@@ -469,7 +480,7 @@
     })
 }
 
-async fn start_entry(cfg: EntryConfig) -> Result<EntryNode, BedError> {
+async fn start_entry(cfg: EntryConfig) -> Result<EntryNode, TestbedError> {
     let mut started = EntryNode { node: Node::new("entry")?, cfg, entry: None };
     let cfg = started.cfg.clone();
     let entry = started.node.run(async move { Entry::start(cfg).await }).await?;
--- a/tools/bulrushusher_testbed/tests/processes/fleet.rs
+++ b/tools/bulrushusher_testbed/tests/processes/fleet.rs
@@ -1,4 +1,4 @@
-//! The programs as separate processes on loopback, with the means to kill, freeze and end them.
+//! Runs the programs as separate processes on loopback, and kills, suspends or terminates them.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -14,13 +14,13 @@
 use bulrushusher_standin::load::fresh_key;
 use bulrushusher_standin::store::StoreFaults;
 
-/// How long anything may take before a test fails; nothing is asserted about time otherwise.
-pub const PATIENCE: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(25);
+/// Timeout of every wait. The tests assert nothing else about time.
+pub const TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 const DECODES: usize = 3;
 const ENTRIES: usize = 2;
 
-/// A process of this test; killed when dropped.
+/// A child process, killed on drop.
 pub struct Process {
     program: &'static str,
     file: PathBuf,
@@ -30,7 +30,7 @@
 
 impl Process {
     fn start(program: &'static str, file: PathBuf, subcommand: Option<&'static str>) -> Process {
-        let mut path = std::env::current_exe().expect("this test has a path");
+        let mut path = std::env::current_exe().expect("the path of the test binary");
         path.pop();
         path.pop();
         let path = path.join(program);
@@ -52,39 +52,41 @@
         assert!(sent.expect("kill runs").success());
     }
 
-    /// Kills it at once.
+    /// Kills the process with SIGKILL and waits for it.
     pub fn kill(&mut self) {
-        self.child.kill().expect("it can be killed");
-        self.child.wait().expect("it ends");
+        self.child.kill().expect("the process can be killed");
+        self.child.wait().expect("the process exits");
     }
 
-    /// Starts it again with the same settings.
+    /// Restarts the program with the same settings.
     pub fn restart(&mut self) {
         *self = Process::start(self.program, self.file.clone(), self.subcommand);
     }
 
-    pub fn freeze(&self) {
+    /// Suspends the process with SIGSTOP.
+    pub fn suspend(&self) {
         self.signal("STOP");
     }
 
-    pub fn thaw(&self) {
+    /// Resumes a suspended process with SIGCONT.
+    pub fn resume(&self) {
         self.signal("CONT");
     }
 
-    /// Asks it to shut down.
+    /// Requests a graceful shutdown with SIGTERM.
     pub fn terminate(&self) {
         self.signal("TERM");
     }
 
-    /// Waits for its end.
-    pub async fn ended(&mut self) -> ExitStatus {
-        let end = tokio::time::Instant::now() + PATIENCE;
+    /// Waits until the process exits.
+    pub async fn wait_exit(&mut self) -> ExitStatus {
+        let deadline = tokio::time::Instant::now() + TIMEOUT;
         loop {
-            if let Some(status) = self.child.try_wait().expect("it can be asked") {
+            if let Some(status) = self.child.try_wait().expect("the process status can be read") {
                 return status;
             }
-            assert!(tokio::time::Instant::now() < end, "{} does not end", self.program);
-            tokio::time::sleep(POLL).await;
+            assert!(tokio::time::Instant::now() < deadline, "{} does not exit", self.program);
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -96,7 +98,8 @@
     }
 }
 
-/// One prefill runner, three decode runners, one plain service, two entries, one store.
+/// A deployment of one prefill runner, three decode runners, one plain service, two entries and one
+/// store.
 pub struct Fleet {
     pub standins: Vec<Process>,
     pub decode_agents: Vec<Process>,
@@ -112,7 +115,8 @@
     http: HttpClient,
 }
 
-/// Hands out addresses that nobody else uses: every fleet has a loopback address of its own.
+/// Allocates ports on a loopback address that is unique to the fleet, so that concurrent tests
+/// don't conflict.
 struct Addresses {
     ip: Ipv4Addr,
     next_port: u16,
@@ -128,7 +132,7 @@
         Addresses { ip: Ipv4Addr::new(127, high, low, fleet), next_port: FIRST_PORT }
     }
 
-    fn take(&mut self) -> SocketAddr {
+    fn next(&mut self) -> SocketAddr {
         self.next_port += 1;
         SocketAddr::new(self.ip.into(), self.next_port)
     }
@@ -137,9 +141,9 @@
 impl Fleet {
     pub async fn start(name: &str) -> Fleet {
         let dir = std::env::temp_dir().join(format!("bulrush-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&dir).expect("a directory for settings");
+        std::fs::create_dir_all(&dir).expect("the settings directory can be created");
         let mut addresses = Addresses::new();
-        let (store, service) = (addresses.take(), addresses.take());
+        let (store, service) = (addresses.next(), addresses.next());
         let mut fleet = Fleet {
             addresses,
             standins: Vec::new(),
@@ -167,17 +171,17 @@
 
     fn write(&self, name: &str, text: &str) -> PathBuf {
         let file = self.dir.join(name);
-        std::fs::write(&file, text).expect("settings are written");
+        std::fs::write(&file, text).expect("the settings can be written");
         file
     }
 
-    /// A process of stand-ins, with its agents. Only the first one's store, prefill engine and
-    /// service are used.
+    /// Starts a process of stand-ins and its agents. Only the store, prefill engine and plain
+    /// service of the first process are used.
     fn start_runners(&mut self, number: usize) -> Vec<v1::Endpoint> {
-        let (prefill, decode) = (self.addresses.take(), self.addresses.take());
+        let (prefill, decode) = (self.addresses.next(), self.addresses.next());
         let (store, service) = match number {
             0 => (self.store, self.service),
-            _ => (self.addresses.take(), self.addresses.take()),
+            _ => (self.addresses.next(), self.addresses.next()),
         };
         let text = format!(
             "[store]\nlisten = {store}\n[prefill]\nlisten = {prefill}\n[decode]\nlisten = {decode}\n\
@@ -193,7 +197,7 @@
             agents.push(("service", "board-app", service));
         }
         for (role, service, target) in agents {
-            let (control, stream) = (self.addresses.take(), self.addresses.take());
+            let (control, stream) = (self.addresses.next(), self.addresses.next());
             let name = format!("{role}-{number}");
             let text = format!(
                 "[agent]\nname = {name}\nservice = {service}\nrole = {role}\ndata_centre = dc\n\
@@ -219,7 +223,7 @@
     }
 
     fn start_entry(&mut self, number: usize) {
-        let (callers, operators) = (self.addresses.take(), self.addresses.take());
+        let (callers, operators) = (self.addresses.next(), self.addresses.next());
         let text = format!(
             "[entry]\nname = entry-{number}\ndata_centre = dc\ncallers = {callers}\n\
              operators = {operators}\nstore = {}\n[records]\nskew_ms = 50\n",
@@ -233,13 +237,16 @@
 
     pub async fn operator(&self, entry: usize) -> OperatorClient<tonic::transport::Channel> {
         let url = format!("http://{}", self.operators[entry]);
-        let end = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + TIMEOUT;
         loop {
             match OperatorClient::connect(url.clone()).await {
                 Ok(client) => return client,
-                Err(e) => assert!(tokio::time::Instant::now() < end, "no entry: {e}"),
+                Err(e) => assert!(
+                    tokio::time::Instant::now() < deadline,
+                    "cannot connect to the entry: {e}"
+                ),
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -250,40 +257,47 @@
         for endpoint in endpoints {
             let put =
                 || v1::PutEndpointRequest { endpoint: Some(endpoint.clone()), expected_version: 0 };
-            // The store may not listen yet.
-            let end = tokio::time::Instant::now() + PATIENCE;
+            // Retried because the store may not listen yet.
+            let deadline = tokio::time::Instant::now() + TIMEOUT;
             let reply = loop {
                 match operator.put_endpoint(put()).await {
                     Ok(reply) => break reply,
-                    Err(e) => assert!(tokio::time::Instant::now() < end, "not accepted: {e}"),
+                    Err(e) => assert!(
+                        tokio::time::Instant::now() < deadline,
+                        "the endpoint is not accepted: {e}"
+                    ),
                 }
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             };
             revision = reply.into_inner().revision;
         }
         for entry in 0..ENTRIES {
             self.wait_status(entry, |status| {
-                let heard = status.endpoints.iter().filter(|e| e.heard_ms_ago != u64::MAX).count();
-                status.revision >= revision && heard == count
+                let reachable =
+                    status.endpoints.iter().filter(|e| e.heard_ms_ago != u64::MAX).count();
+                status.revision >= revision && reachable == count
             })
             .await;
         }
-        // Keys are vouched for once they are younger than the agents by more than the skew, and
-        // the agents have heard from each other.
+        // The agents' records cover only keys that are created later than the agents' start by more
+        // than the clock skew, and only once the agents have exchanged messages.
         tokio::time::sleep(Duration::from_millis(1_200)).await;
     }
 
-    /// Waits until an entry's status is as wanted.
-    pub async fn wait_status(&self, entry: usize, wanted: impl Fn(&v1::StatusReply) -> bool) {
+    /// Waits until an entry's status fulfils a condition.
+    pub async fn wait_status(&self, entry: usize, condition: impl Fn(&v1::StatusReply) -> bool) {
         let mut operator = self.operator(entry).await;
-        let end = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + TIMEOUT;
         loop {
             let status = operator.status(v1::StatusRequest {}).await;
-            if status.is_ok_and(|status| wanted(status.get_ref())) {
+            if status.is_ok_and(|status| condition(status.get_ref())) {
                 return;
             }
-            assert!(tokio::time::Instant::now() < end, "the status is not as wanted in time");
-            tokio::time::sleep(POLL).await;
+            assert!(
+                tokio::time::Instant::now() < deadline,
+                "timed out waiting for the entry's status"
+            );
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -292,10 +306,10 @@
     }
 
     pub async fn counts(&self, target: SocketAddr) -> Counts {
-        self.http.get(target, "/counts", PATIENCE).await.expect("the stand-in answers")
+        self.http.get(target, "/counts", TIMEOUT).await.expect("the stand-in answers")
     }
 
-    /// How often a key ran, by the engines' and the service's own records.
+    /// Number of runs of a key according to the counters of the engines and the service.
     pub async fn runs(&self, key: &str) -> u64 {
         let mut runs = 0;
         for target in self.engines.iter().chain([&self.service]) {
@@ -304,7 +318,7 @@
         runs
     }
 
-    /// Decode places held, by the engines' own records.
+    /// Number of decode slots in use according to the engines' counters.
     pub async fn held(&self) -> usize {
         let mut held = 0;
         for engine in &self.engines {
@@ -313,32 +327,32 @@
         held
     }
 
-    /// Waits until no decode place is held.
+    /// Waits until no decode slot is in use.
     pub async fn wait_released(&self) {
-        let end = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + TIMEOUT;
         while self.held().await > 0 {
-            assert!(tokio::time::Instant::now() < end, "engine memory stays held");
-            tokio::time::sleep(POLL).await;
+            assert!(tokio::time::Instant::now() < deadline, "decode slots are still in use");
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until some engine decodes, and tells which.
+    /// Waits until an engine decodes and returns its number.
     pub async fn wait_decoding(&self) -> usize {
-        let end = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + TIMEOUT;
         loop {
             for (number, engine) in self.engines.iter().enumerate() {
                 if !self.counts(*engine).await.keys.is_empty() && self.held().await > 0 {
                     return number;
                 }
             }
-            assert!(tokio::time::Instant::now() < end, "nothing decodes");
-            tokio::time::sleep(POLL).await;
+            assert!(tokio::time::Instant::now() < deadline, "no engine decodes");
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     pub async fn set_store_faults(&self, faults: StoreFaults) {
-        let set: Result<String, _> = self.http.post(self.store, "/faults", &faults, PATIENCE).await;
-        set.expect("the store takes faults");
+        let set: Result<String, _> = self.http.post(self.store, "/faults", &faults, TIMEOUT).await;
+        set.expect("the store accepts faults");
     }
 }
 
@@ -348,7 +362,7 @@
     }
 }
 
-/// A billed prompt with a key: non-idempotent by its default class.
+/// A prompt with a key and no class, which makes it non-idempotent by default.
 pub fn prompt(mark: &str, tokens: usize) -> Request {
     Request {
         kind: RequestKind::Prompt {
--- a/tools/bulrushusher_testbed/tests/settings.rs
+++ b/tools/bulrushusher_testbed/tests/settings.rs
@@ -1,6 +1,7 @@
-//! The settings page says what the programs check.
+//! docs/SETTINGS.md matches the settings declared in the code.
 //!
-//! After a change: `BULRUSH_WRITE_SETTINGS=1 cargo test -p bulrushusher_testbed --test settings`.
+//! To update the page:
+//! `BULRUSH_WRITE_SETTINGS=1 cargo test -p bulrushusher_testbed --test settings`.
 
 use bulrushusher_config::{Program, settings_reference};
 
@@ -22,17 +23,20 @@
         bulrushusher_standin::settings::PROGRAM,
         ctl,
     ];
-    let part = |p: Program| {
+    let section = |p: Program| {
         format!("\n## {}\n\n{}\n\n{}", p.name, p.about, settings_reference(p.settings))
     };
-    HEAD.to_owned() + &programs.into_iter().map(part).collect::<String>()
+    HEAD.to_owned() + &programs.into_iter().map(section).collect::<String>()
 }
 
 #[test]
-fn the_settings_page_is_that_of_the_code() {
+fn the_settings_page_matches_the_code() {
     if std::env::var_os("BULRUSH_WRITE_SETTINGS").is_some() {
-        std::fs::write(PAGE, page()).expect("the page is written");
+        std::fs::write(PAGE, page()).expect("the page can be written");
     }
-    let written = std::fs::read_to_string(PAGE).expect("the page is there");
-    assert!(written == page(), "docs/SETTINGS.md is behind the code; see this test's first lines");
+    let written = std::fs::read_to_string(PAGE).expect("the page can be read");
+    assert!(
+        written == page(),
+        "docs/SETTINGS.md is outdated; run this test with BULRUSH_WRITE_SETTINGS=1"
+    );
 }
