--- a/crates/bulrushusher_standin/src/engine/mod.rs
+++ b/crates/bulrushusher_standin/src/engine/mod.rs
@@ -1,12 +1,13 @@
 //! A stand-in model engine: prefill and decode with KV export and import.
 //!
 //! Protocol: HTTP/JSON; streams are newline-delimited JSON.
-//! - `POST /prefill` [`PrefillRequest`] → stream of [`PrefillEvent`]. Closing the stream cancels the
-//!   prefill.
-//! - `POST /export` [`ExportRequest`] → [`ExportResponse`], or 410 if the KV cache is no longer held.
-//! - `POST /decode` [`DecodeRequest`] → stream of [`DecodeEvent`]; 409 if the run ID was used before,
-//!   410 if the KV cache is no longer held, 429 if all decode slots are in use. Closing the stream
-//!   does *not* cancel the run.
+//! - `POST /prefill` [`PrefillRequest`] → stream of [`PrefillEvent`]. Closing the stream cancels
+//!   the prefill.
+//! - `POST /export` [`ExportRequest`] → [`ExportResponse`], or 410 if the KV cache is no longer
+//!   held.
+//! - `POST /decode` [`DecodeRequest`] → stream of [`DecodeEvent`]; 409 if the run ID was used
+//!   before, 410 if the KV cache is no longer held, 429 if all decode slots are in use. Closing the
+//!   stream does *not* cancel the run.
 //! - `POST /resume` [`ResumeRequest`] → stream of [`DecodeEvent`] from a given token, or 404 for an
 //!   unknown run.
 //! - `POST /cancel` [`RunId`] → whether an active run was cancelled.
--- a/crates/bulrushusher_standin/src/load.rs
+++ b/crates/bulrushusher_standin/src/load.rs
@@ -58,8 +58,8 @@
     pub request: Request,
 }
 
-/// Schedules the requests of all flows over `duration`, sorted by time. The same seed gives the same
-/// schedule, except for the request keys.
+/// Schedules the requests of all flows over `duration`, sorted by time. The same seed gives the
+/// same schedule, except for the request keys.
 ///
 /// ```
 /// use bulrushusher_standin::load::{Flow, FlowKind, schedule};
@@ -127,8 +127,8 @@
     }
 }
 
-/// Builds a prompt of `tokens` tokens that starts with the account's shared blocks and ends with the
-/// mark.
+/// Builds a prompt of `tokens` tokens that starts with the account's shared blocks and ends with
+/// the mark.
 fn prompt_text(account: usize, tokens: usize, shared_blocks: usize, mark: &str) -> String {
     let bytes = tokens * BYTES_PER_TOKEN;
     let shared_bytes = shared_blocks * BLOCK_TOKENS * BYTES_PER_TOKEN;
--- a/crates/bulrushusher_standin/tests/cli.rs
+++ b/crates/bulrushusher_standin/tests/cli.rs
@@ -15,13 +15,13 @@
 }
 
 #[test]
-fn the_sample_settings_are_valid() {
+fn the_sample_settings_are_good() {
     let output = check(SAMPLE.as_ref());
     assert_eq!(output.status.code(), Some(0), "{output:?}");
 }
 
 #[test]
-fn an_unknown_setting_is_named_with_its_remedy() {
+fn a_bad_setting_is_named_with_its_remedy() {
     let file = std::env::temp_dir().join(format!("bulrush-standin-{}.ini", std::process::id()));
     let sample = std::fs::read_to_string(SAMPLE).expect("the sample file can be read");
     std::fs::write(&file, sample + "\n[engine]\nplace = 3\n").expect("the file can be written");
--- a/tools/bulrushusher_protogen/src/main.rs
+++ b/tools/bulrushusher_protogen/src/main.rs
@@ -1,6 +1,6 @@
 //! Regenerates `crates/bulrushusher_operator/src/generated/` from `operator.proto`.
 //!
-//! Run from the root of the workspace: `cargo run -p bulrushusher_protogen`. It needs no `protoc`.
+//! Run `cargo run -p bulrushusher_protogen` in the workspace root. `protoc` isn't needed.
 
 const SCHEMA: &str = "operator.proto";
 const SCHEMA_DIR: &str = "crates/bulrushusher_operator/proto";
--- a/tools/bulrushusher_slopes/src/main.rs
+++ b/tools/bulrushusher_slopes/src/main.rs
@@ -1,5 +1,7 @@
-//! Measures how state, time and messages grow with size, at several sizes each, with a straight-line
-//! fit: `cargo run --release -p bulrushusher_slopes`. docs/CAPACITY.md is worked out from these.
+//! Measures how memory, time and message sizes scale: each quantity is measured at four sizes and
+//! fitted with a straight line. docs/CAPACITY.md is calculated from the results.
+//!
+//! `cargo run --release -p bulrushusher_slopes`
 
 mod fit;
 mod messages;
@@ -8,6 +10,7 @@
 use std::process::Command;
 
 fn main() -> std::io::Result<()> {
+    // With an argument, takes one measurement; without, starts a process for each.
     if let Some(number) = std::env::args().nth(1) {
         let measure = number.parse().ok().and_then(|n: usize| state::ALL.get(n));
         if let Some(measure) = measure {
@@ -20,8 +23,8 @@
         let output = Command::new(std::env::current_exe()?).arg(number.to_string()).output()?;
         print!("{}", String::from_utf8_lossy(&output.stdout));
     }
-    for slope in messages::all() {
-        println!("{slope}");
+    for measurement in messages::all() {
+        println!("{measurement}");
     }
     Ok(())
 }
--- a/tools/bulrushusher_slopes/src/messages.rs
+++ b/tools/bulrushusher_slopes/src/messages.rs
@@ -1,4 +1,4 @@
-//! Sizes of the control messages, as the bodies that go over the wire, without HTTP's headers.
+//! Sizes of control messages: their JSON bodies, without HTTP headers.
 
 use bulrushusher_admission::ReservationId;
 use bulrushusher_once::{Ballot, Owner, ServiceList};
@@ -10,11 +10,11 @@
 use bulrushusher_world::{EndpointName, EntryName, RequestKey, ServiceName};
 use serde::Serialize;
 
-use crate::fit::Slope;
+use crate::fit::Measurement;
 use crate::state::endpoint;
 
-/// All slopes of messages.
-pub fn all() -> Vec<Slope> {
+/// Measures all messages.
+pub fn all() -> Vec<Measurement> {
     vec![
         sizes("heartbeat, asked", "stream", [0, 10, 50, 110], heartbeat),
         sizes("heartbeat, answered", "message", [1, 1, 1, 1], |_| body(&status())),
@@ -26,17 +26,17 @@
 }
 
 fn sizes(
-    what: &'static str,
+    quantity: &'static str,
     per: &'static str,
     at: [usize; 4],
     size: impl Fn(usize) -> f64,
-) -> Slope {
+) -> Measurement {
     let points = at.into_iter().map(|count| (count as f64, size(count))).collect();
-    Slope { what, unit: "bytes", per, points }
+    Measurement { quantity, unit: "bytes", per, points }
 }
 
 fn body<T: Serialize>(message: &T) -> f64 {
-    serde_json::to_vec(message).expect("messages have a JSON form").len() as f64
+    serde_json::to_vec(message).expect("messages serialize to JSON").len() as f64
 }
 
 fn key() -> RequestKey {
@@ -73,7 +73,7 @@
 }
 
 fn reservation() -> f64 {
-    let ask = ReserveRequest {
+    let request = ReserveRequest {
         entry: entry(),
         start_within: Millis(2_400),
         late_within: Millis(60_000),
@@ -85,18 +85,18 @@
         incarnation: u64::MAX / 3,
         time_to_live: Millis(2_000),
     };
-    body(&ask) + body(&ReserveReply { outcome: Ok(reserved), load: load() })
+    body(&request) + body(&ReserveReply { outcome: Ok(reserved), load: load() })
 }
 
 fn claim() -> f64 {
-    let ask = ClaimRequest { key: key(), executor: name(), revision: 123_456 };
-    body(&ask) + body(&bulrushusher_once::ClaimReply::Recorded)
+    let request = ClaimRequest { key: key(), executor: name(), revision: 123_456 };
+    body(&request) + body(&bulrushusher_once::ClaimReply::Recorded)
 }
 
 fn bar(keys: usize) -> f64 {
     let owner = Owner { entry: entry(), incarnation: u64::MAX / 3, attempt: 123_456 };
-    let ask = BarRequest { key: key(), ballot: Ballot::Home.next(&owner), revision: 123_456 };
-    body(&vec![ask; keys])
+    let request = BarRequest { key: key(), ballot: Ballot::Home.next(&owner), revision: 123_456 };
+    body(&vec![request; keys])
 }
 
 fn list(endpoints: usize) -> f64 {
--- a/tools/bulrushusher_slopes/src/state.rs
+++ b/tools/bulrushusher_slopes/src/state.rs
@@ -1,5 +1,5 @@
-//! Memory and time of the decision types. Memory is the growth of this process's resident set while
-//! the state is made, so each is made large enough to be seen.
+//! Memory and time used by the decision types. Memory is measured as the growth of the resident set
+//! while the state is built, so each state is large compared with a page.
 
 use std::time::Instant;
 
@@ -15,61 +15,62 @@
     ClientAccount, Endpoint, EndpointName, RawClientAccount, RawEndpoint, RequestKey, ServiceName,
 };
 
-use crate::fit::Slope;
+use crate::fit::Measurement;
 
-const PAGE: f64 = 4_096.0;
+const PAGE_BYTES: f64 = 4_096.0;
 const MODELS: usize = 33;
-/// The time in the keys made here.
+/// The creation time encoded in the request keys below.
 const NOW: Millis = Millis(0x01a2_37f0_596f);
 const COVERAGE: RecordCoverage =
     RecordCoverage { since: Millis(0), skew: Millis(100), horizon: Millis(600_000) };
 
-/// Slopes of state and time, each to be measured in a process of its own: memory that one has freed
-/// would be taken by the next, unseen.
-pub const ALL: [fn() -> Slope; 9] = [
+/// Measurements of memory and time. Each must run in its own process: memory freed by one would be
+/// reused by the next and not counted.
+pub const ALL: [fn() -> Measurement; 9] = [
     choose_time,
     pairing_bytes,
     account_bytes,
     snapshot_bytes,
     snapshot_time,
-    gate_time,
+    admission_time,
     executor_bytes,
     executor_time,
     home_bytes,
 ];
 
-fn resident() -> f64 {
+/// Resident set size of this process, in bytes.
+fn resident_bytes() -> f64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1).and_then(|n| n.parse::<f64>().ok());
-    pages.unwrap_or(0.0) * PAGE
+    pages.unwrap_or(0.0) * PAGE_BYTES
 }
 
-/// Bytes that the process grows by while `make` makes something.
-fn bytes<T>(make: impl FnOnce() -> T) -> f64 {
-    let before = resident();
-    // Kept for good: freed memory would be taken again by the next one, unseen.
-    std::mem::forget(make());
-    (resident() - before).max(0.0)
+/// Growth of the resident set while `build` runs, in bytes.
+fn bytes<T>(build: impl FnOnce() -> T) -> f64 {
+    let before = resident_bytes();
+    // Leaked, because freed memory would be reused by the next measurement and not counted.
+    std::mem::forget(build());
+    (resident_bytes() - before).max(0.0)
 }
 
-/// Mean nanoseconds of `work`.
-fn nanos(rounds: usize, mut work: impl FnMut(usize)) -> f64 {
+/// Mean duration of a call of `operation`, in nanoseconds.
+fn nanos(rounds: usize, mut operation: impl FnMut(usize)) -> f64 {
     let start = Instant::now();
     for round in 0..rounds {
-        work(round);
+        operation(round);
     }
     start.elapsed().as_nanos() as f64 / rounds as f64
 }
 
-fn slope(
-    what: &'static str,
+fn measurement(
+    quantity: &'static str,
     unit: &'static str,
     per: &'static str,
     sizes: [usize; 4],
     measure: impl Fn(usize) -> f64,
-) -> Slope {
+) -> Measurement {
     let points = sizes.into_iter().map(|size| (size as f64, measure(size))).collect();
-    Slope { what, unit, per, points }
+    Measurement { quantity, unit, per, points }
 }
 
 fn address(number: usize, port: u16) -> String {
@@ -101,8 +102,8 @@
     table
 }
 
-fn choose_time() -> Slope {
-    slope("one placement", "ns", "runner", [10, 100, 1_000, 2_700], |runners| {
+fn choose_time() -> Measurement {
+    measurement("one placement", "ns", "runner", [10, 100, 1_000, 2_700], |runners| {
         let mut table = pairing(runners);
         let models = MODELS.min(runners / 2);
         let services: Vec<ServiceName> = (0..models)
@@ -116,8 +117,8 @@
     })
 }
 
-fn pairing_bytes() -> Slope {
-    slope("pairing table", "bytes", "runner", [2_700, 27_000, 54_000, 108_000], |runners| {
+fn pairing_bytes() -> Measurement {
+    measurement("pairing table", "bytes", "runner", [2_700, 27_000, 54_000, 108_000], |runners| {
         bytes(|| pairing(runners))
     })
 }
@@ -128,8 +129,8 @@
     ClientAccount::try_from(raw).expect("a valid account")
 }
 
-fn account_bytes() -> Slope {
-    slope("quotas", "bytes", "account", [13_000, 52_000, 104_000, 208_000], |accounts| {
+fn account_bytes() -> Measurement {
+    measurement("quotas", "bytes", "account", [13_000, 52_000, 104_000, 208_000], |accounts| {
         bytes(|| {
             let cfg = QuotaConfig {
                 sharing: Sharing::Fixed(380),
@@ -155,7 +156,7 @@
         version: revision,
         revision,
         mark: String::new(),
-        value: serde_json::to_value(account(number)).expect("accounts have a JSON form"),
+        value: serde_json::to_value(account(number)).expect("accounts serialize to JSON"),
     }
 }
 
@@ -167,29 +168,29 @@
     snapshot
 }
 
-fn snapshot_bytes() -> Slope {
-    slope("configuration", "bytes", "object", [13_000, 26_000, 52_000, 104_000], |accounts| {
+fn snapshot_bytes() -> Measurement {
+    measurement("configuration", "bytes", "object", [13_000, 26_000, 52_000, 104_000], |accounts| {
         bytes(|| snapshot(accounts))
     })
 }
 
-fn snapshot_time() -> Slope {
-    slope("one change", "ns", "object held", [1_000, 4_000, 13_000, 26_000], |accounts| {
-        let held = snapshot(accounts);
+fn snapshot_time() -> Measurement {
+    measurement("one change", "ns", "object held", [1_000, 4_000, 13_000, 26_000], |accounts| {
+        let current = snapshot(accounts);
         nanos(40, |round| {
-            // As the entry does it: a copy is changed and put in place.
-            let mut next = held.clone();
+            // Like the entry, which updates a copy and then replaces the original.
+            let mut next = current.clone();
             next.apply(&account_object(round, 2)).expect("a valid object");
             std::hint::black_box(&next);
         })
     })
 }
 
-fn gate_time() -> Slope {
-    slope("ask, start, finish", "ns", "request waiting", [0, 100, 250, 500], |waiting| {
+fn admission_time() -> Measurement {
+    measurement("ask, start, finish", "ns", "request waiting", [0, 100, 250, 500], |waiting| {
         let cfg = AdmissionConfig { slots: 1, max_queued: 1_000, time_to_live: Millis(60_000_000) };
-        let mut gate = AdmissionController::new(cfg);
-        let ask = |n: usize| SlotRequest {
+        let mut controller = AdmissionController::new(cfg);
+        let request = |n: usize| SlotRequest {
             id: SlotRequestId(n as u64),
             start_by: NOW.plus(Millis(n as u64)),
             late_start_by: NOW.plus(Millis(10_000_000)),
@@ -197,13 +198,13 @@
         };
         let mut granted = Vec::new();
         for n in 0..=waiting {
-            granted.extend(gate.request(ask(n), NOW));
+            granted.extend(controller.request(request(n), NOW));
         }
         nanos(20_000, |round| {
-            granted.extend(gate.request(ask(waiting + 1 + round), NOW));
+            granted.extend(controller.request(request(waiting + 1 + round), NOW));
             if let Some(bulrushusher_admission::AdmissionAction::Grant(_, grant)) = granted.pop() {
-                gate.start(grant.id, NOW).expect("a fresh grant");
-                granted.extend(gate.release(grant.id, NOW));
+                controller.start(grant.id, NOW).expect("a fresh grant");
+                granted.extend(controller.release(grant.id, NOW));
             }
         })
     })
@@ -229,12 +230,14 @@
 
 const RECORDS: [usize; 4] = [20_000, 50_000, 100_000, 200_000];
 
-fn executor_bytes() -> Slope {
-    slope("executor records", "bytes", "record", RECORDS, |records| bytes(|| executor(records)))
+fn executor_bytes() -> Measurement {
+    measurement("executor records", "bytes", "record", RECORDS, |records| {
+        bytes(|| executor(records))
+    })
 }
 
-fn executor_time() -> Slope {
-    slope("one order", "ns", "record held", [1_000, 10_000, 50_000, 100_000], |records| {
+fn executor_time() -> Measurement {
+    measurement("one order", "ns", "record held", [1_000, 10_000, 50_000, 100_000], |records| {
         let mut table = executor(records);
         nanos(20_000, |round| {
             std::hint::black_box(table.order(&key(round % records), &Ballot::Home, NOW));
@@ -242,16 +245,16 @@
     })
 }
 
-fn home_bytes() -> Slope {
-    slope("home records", "bytes", "record", RECORDS, |records| {
+fn home_bytes() -> Measurement {
+    measurement("home records", "bytes", "record", RECORDS, |records| {
         bytes(|| {
-            let me = EndpointName::try_from("d1").expect("a valid name");
+            let executor = EndpointName::try_from("d1").expect("a valid name");
             let cfg = HomeConfig { max_records: records, coverage: COVERAGE };
-            let mut home = HomeTable::new(me.clone(), cfg);
-            let executors = vec![me.clone()];
+            let mut home = HomeTable::new(executor.clone(), cfg);
+            let executors = vec![executor.clone()];
             home.set_list(ServiceList { revision: 1, executors, ..ServiceList::default() }, NOW);
             for number in 0..records {
-                home.claim(&key(number), &me, 1, NOW);
+                home.claim(&key(number), &executor, 1, NOW);
             }
             home
         })
