--- a/tools/bulrushusher_experiment/src/main.rs
+++ b/tools/bulrushusher_experiment/src/main.rs
@@ -45,7 +45,7 @@
                 .value_parser(value_parser!(f64)),
         )
         .arg(
-            list("seeds", "1,2,3,4,5", "Seeds of the runs")
+            list("seeds", "1,2,3,4,5", "Seeds")
                 .action(ArgAction::Append)
                 .value_parser(value_parser!(u64)),
         )
