--- a/crates/bulrushusher_ctl/src/apply.rs
+++ b/crates/bulrushusher_ctl/src/apply.rs
@@ -1,5 +1,5 @@
-//! Desired objects, written as INI: `[closing NAME]`, `[class CLOSING/NAME]`, `[endpoint NAME]`,
-//! `[account NAME]`.
+//! Parses files of desired objects in INI format: `[closing NAME]`, `[class CLOSING/NAME]`,
+//! `[endpoint NAME]` and `[account NAME]`.
 
 use std::path::Path;
 
@@ -8,48 +8,53 @@
 
 use crate::CtlError;
 
-/// The objects of a file.
+/// The objects defined in a file.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Desired {
-    /// Closings with their classes.
+pub struct DesiredObjects {
+    /// Closings with their deliverable classes.
     pub closings: Vec<v1::Closing>,
-    /// Endpoints.
+    /// Endpoints of runners.
     pub endpoints: Vec<v1::Endpoint>,
     /// Client accounts.
     pub accounts: Vec<v1::Account>,
 }
 
-/// Reads a file of desired objects.
+/// Reads and parses a file of desired objects.
 ///
 /// # Errors
-/// [`CtlError::File`] names the section, the key and the remedy.
-pub fn read_desired(file: &Path) -> Result<Desired, CtlError> {
+/// [`CtlError::File`] with the section, the key and the remedy.
+pub fn read_desired(file: &Path) -> Result<DesiredObjects, CtlError> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file)
         .map_err(|e| CtlError::File { file: name.clone(), cause: e.to_string() })?;
     parse_desired(&text).map_err(|cause| CtlError::File { file: name, cause })
 }
 
-fn parse_desired(text: &str) -> Result<Desired, String> {
+fn parse_desired(text: &str) -> Result<DesiredObjects, String> {
     let ini = Ini::load_from_str(text).map_err(|e| e.to_string())?;
-    let mut desired = Desired::default();
+    let mut desired = DesiredObjects::default();
     for (section, properties) in ini.iter() {
         let Some(section) = section else { continue };
-        let (kind, name) = section
-            .split_once(' ')
-            .ok_or_else(|| format!("[{section}]: write a kind and a name"))?;
+        let (kind, name) = section.split_once(' ').ok_or_else(|| {
+            format!("[{section}]: the section needs a kind and a name, such as [endpoint NAME]")
+        })?;
         let fields = Fields { section, properties };
         match kind {
             "closing" => desired.closings.push(closing(name, &fields)?),
             "class" => add_class(&mut desired.closings, name, &fields)?,
             "endpoint" => desired.endpoints.push(endpoint(name, &fields)?),
             "account" => desired.accounts.push(account(name, &fields)?),
-            _ => return Err(format!("[{section}]: write closing, class, endpoint or account")),
+            _ => {
+                return Err(format!(
+                    "[{section}]: unknown kind; use closing, class, endpoint or account"
+                ));
+            }
         }
     }
     Ok(desired)
 }
 
+/// The keys of a section.
 struct Fields<'a> {
     section: &'a str,
     properties: &'a Properties,
@@ -93,12 +98,13 @@
 
 fn add_class(closings: &mut [v1::Closing], name: &str, fields: &Fields) -> Result<(), String> {
     let section = fields.section;
-    let (closing, name) =
-        name.split_once('/').ok_or_else(|| format!("[{section}]: write class CLOSING/NAME"))?;
+    let (closing, name) = name
+        .split_once('/')
+        .ok_or_else(|| format!("[{section}]: use the form [class CLOSING/NAME]"))?;
     let closing = closings
         .iter_mut()
-        .find(|held| held.name == closing)
-        .ok_or_else(|| format!("[{section}]: write [closing {closing}] before it"))?;
+        .find(|it| it.name == closing)
+        .ok_or_else(|| format!("[{section}]: define [closing {closing}] before this section"))?;
     closing.classes.push(v1::DeliverableClass {
         name: name.to_owned(),
         patience: fields.text("patience")?,
--- a/crates/bulrushusher_ctl/src/cli.rs
+++ b/crates/bulrushusher_ctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line, and what each command does.
+//! The command line and the execution of its commands.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -12,58 +12,58 @@
 
 use crate::CtlError;
 use crate::apply::read_desired;
-use crate::show::{self, Output, Rows};
-use crate::writing::apply;
+use crate::reconcile::apply;
+use crate::show::{self, OutputFormat, Rows};
 use crate::{losses, quotas};
 
 pub(crate) type Client = OperatorClient<Channel>;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-const WAIT_POLL: Duration = Duration::from_millis(50);
+const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 const OUTPUTS: [&str; 2] = ["table", "json"];
 
-/// The settings of `bulrushctl`; the command line goes before them.
+/// The settings of `bulrushctl`. Command-line options take precedence.
 pub const SETTINGS: &[Setting] = &[
     setting(
         "operator",
         "entry",
         Kind::Address,
         Some("127.0.0.1:7200"),
-        "Operators' address of an entry.",
+        "Operator address of an entry.",
     ),
-    setting("operator", "output", Kind::Choice(&OUTPUTS), Some("table"), "How replies are shown."),
+    setting("operator", "output", Kind::Choice(&OUTPUTS), Some("table"), "Output format."),
 ];
 
-fn named(name: &'static str, about: &'static str) -> Command {
+fn command_with_name(name: &'static str, about: &'static str) -> Command {
     Command::new(name).about(about).arg(Arg::new("name").required(true).help("Name of the object"))
 }
 
-fn object(kind: &'static str, about: &'static str) -> Command {
-    let version = Arg::new("version")
-        .long("version")
-        .required(true)
-        .value_parser(value_parser!(u64))
-        .help("The version you saw; a different one held is a conflict");
+fn object_commands(kind: &'static str, about: &'static str) -> Command {
+    let version =
+        Arg::new("version").long("version").required(true).value_parser(value_parser!(u64)).help(
+            "Expected version of the object; the command fails with a conflict if it differs",
+        );
     Command::new(kind)
         .about(about)
         .subcommand_required(true)
-        .subcommand(Command::new("list").about("Lists all"))
-        .subcommand(named("get", "Shows one"))
-        .subcommand(named("delete", "Deletes one").arg(version))
+        .subcommand(Command::new("list").about("List all"))
+        .subcommand(command_with_name("get", "Show one"))
+        .subcommand(command_with_name("delete", "Delete one").arg(version))
 }
 
 /// The command line.
 pub fn command() -> Command {
-    let entry = Arg::new("entry").long("entry").global(true).action(ArgAction::Append).help(
-        "Operators' address of an entry, instead of the settings'; may be repeated for `wait`",
-    );
+    let entry =
+        Arg::new("entry").long("entry").global(true).action(ArgAction::Append).help(
+            "Operator address of an entry, overrides the settings; may be repeated for `wait`",
+        );
     let output = Arg::new("output")
         .long("output")
         .global(true)
         .value_parser(OUTPUTS)
-        .help("How replies are shown, instead of the settings' way");
+        .help("Output format, overrides the settings");
     let config = Arg::new("config")
         .long("config")
         .global(true)
@@ -74,18 +74,18 @@
         .long("check-config")
         .action(ArgAction::SetTrue)
         .requires("config")
-        .help("Check the settings and exit: 0 when good, 2 when bad");
+        .help("Check the settings and exit: 0 if valid, 2 if invalid");
     let file = Arg::new("file")
         .short('f')
         .long("file")
         .required(true)
         .value_name("FILE.ini")
         .value_parser(value_parser!(PathBuf))
-        .help("Objects to apply");
-    let dry = Arg::new("dry-run")
+        .help("File of desired objects");
+    let dry_run = Arg::new("dry-run")
         .long("dry-run")
         .action(ArgAction::SetTrue)
-        .help("Show what would change");
+        .help("Show the changes without writing them");
     let revision = Arg::new("revision")
         .long("revision")
         .required(true)
@@ -95,39 +95,48 @@
         .long("seconds")
         .default_value("10")
         .value_parser(value_parser!(u64))
-        .help("How long to wait");
+        .help("Timeout of the wait, in seconds");
     Command::new("bulrushctl")
-        .about("Drives the router: closings, endpoints, client accounts")
+        .about("Manages the router: closings, endpoints and client accounts")
         .version(env!("CARGO_PKG_VERSION"))
         .after_help(
-            "Exit codes: 0 done, 1 refused, 2 bad command line or file, 3 conflicting update, \
-             4 entry or store not reached, or wait not met",
+            "Exit codes: 0 success, 1 refused or failed, 2 invalid command line or file, \
+             3 conflicting update, 4 entry or store unreachable, or `wait` timed out",
         )
         .args([entry, output, config, check])
-        .subcommand(object("closing", "Closings"))
-        .subcommand(object("endpoint", "Endpoints"))
-        .subcommand(object("account", "Client accounts"))
-        .subcommand(Command::new("apply").about("Creates or updates objects").args([file, dry]))
-        .subcommand(named("drain", "An endpoint gets no new work; what is in flight finishes"))
-        .subcommand(named("undrain", "An endpoint gets work again"))
+        .subcommand(object_commands("closing", "Manage closings"))
+        .subcommand(object_commands("endpoint", "Manage endpoints"))
+        .subcommand(object_commands("account", "Manage client accounts"))
+        .subcommand(
+            Command::new("apply")
+                .about("Create or update the objects of a file")
+                .args([file, dry_run]),
+        )
+        .subcommand(command_with_name(
+            "drain",
+            "Drain an endpoint: no new work is sent, in-flight work finishes",
+        ))
+        .subcommand(command_with_name("undrain", "Resume sending work to an endpoint"))
         .subcommand(losses::command())
         .subcommand(quotas::command())
-        .subcommand(Command::new("status").about("What an entry has in force and sees"))
+        .subcommand(
+            Command::new("status").about("Show the applied revision of an entry and its endpoints"),
+        )
         .subcommand(
             Command::new("wait")
-                .about("Waits for a revision to be in force")
+                .about("Wait until entries have applied a revision")
                 .args([revision, seconds]),
         )
 }
 
-/// Does what the command line says; returns what to print.
+/// Runs the command and returns the text to print.
 ///
 /// # Errors
-/// [`CtlError`], with its exit code.
+/// [`CtlError`], which determines the exit code.
 pub async fn execute(matches: &ArgMatches) -> Result<String, CtlError> {
-    let (entries, output) = settings(matches)?;
+    let (entries, output) = entries_and_format(matches)?;
     if matches.get_flag("check-config") {
-        return Ok("bulrushctl: the settings are good\n".to_owned());
+        return Ok("bulrushctl: the settings are valid\n".to_owned());
     }
     let first = entries.first().cloned().unwrap_or_default();
     let rows = match matches.subcommand() {
@@ -140,8 +149,8 @@
         Some(("apply", args)) => {
             let file = args.get_one::<PathBuf>("file").cloned().unwrap_or_default();
             let desired = read_desired(&file)?;
-            let dry = args.get_flag("dry-run");
-            apply(&mut connect(&first).await?, &desired, dry).await?
+            let dry_run = args.get_flag("dry-run");
+            apply(&mut connect(&first).await?, &desired, dry_run).await?
         }
         Some((verb @ ("drain" | "undrain"), args)) => {
             let req = v1::DrainRequest { name: name_of(args), drain: verb == "drain" };
@@ -151,24 +160,24 @@
         Some(("status", _)) => return status(&first, output).await,
         _ => return Err(CtlError::NoCommand),
     };
-    Ok(rows.show(output))
+    Ok(rows.render(output))
 }
 
-/// The entries to speak to and how to show replies: as the command line says, else the settings.
-fn settings(matches: &ArgMatches) -> Result<(Vec<String>, Output), CtlError> {
+/// Addresses of entries and the output format, from the command line or else from the settings.
+fn entries_and_format(matches: &ArgMatches) -> Result<(Vec<String>, OutputFormat), CtlError> {
     let values = match matches.get_one::<PathBuf>("config") {
         Some(file) => Values::load(file, SETTINGS)?,
         None => Values::parse("defaults", "", SETTINGS)?,
     };
-    let given: Vec<String> = matches.get_many("entry").unwrap_or_default().cloned().collect();
-    let entries = match given.is_empty() {
+    let from_args: Vec<String> = matches.get_many("entry").unwrap_or_default().cloned().collect();
+    let entries = match from_args.is_empty() {
         true => vec![values.text("operator", "entry").to_owned()],
-        false => given,
+        false => from_args,
     };
-    let shown = matches.get_one::<String>("output").map(String::as_str);
-    let output = match shown.unwrap_or(values.text("operator", "output")) {
-        "json" => Output::Json,
-        _ => Output::Table,
+    let format = matches.get_one::<String>("output").map(String::as_str);
+    let output = match format.unwrap_or(values.text("operator", "output")) {
+        "json" => OutputFormat::Json,
+        _ => OutputFormat::Table,
     };
     Ok((entries, output))
 }
@@ -240,10 +249,10 @@
     })
 }
 
-async fn status(entry: &str, output: Output) -> Result<String, CtlError> {
+async fn status(entry: &str, output: OutputFormat) -> Result<String, CtlError> {
     let status = connect(entry).await?.status(v1::StatusRequest {}).await?.into_inner();
-    let rows = show::status(&status).show(output);
-    if output == Output::Json {
+    let rows = show::status(&status).render(output);
+    if output == OutputFormat::Json {
         return Ok(rows);
     }
     Ok(format!(
@@ -258,19 +267,19 @@
 async fn wait(entries: &[String], args: &ArgMatches) -> Result<String, CtlError> {
     let revision = args.get_one::<u64>("revision").copied().unwrap_or(0);
     let seconds = args.get_one::<u64>("seconds").copied().unwrap_or(0);
-    let end = Instant::now() + Duration::from_secs(seconds);
+    let deadline = Instant::now() + Duration::from_secs(seconds);
     for entry in entries {
         let mut client = connect(entry).await?;
         loop {
-            let held = client.status(v1::StatusRequest {}).await?.into_inner().revision;
-            if held >= revision {
+            let current = client.status(v1::StatusRequest {}).await?.into_inner().revision;
+            if current >= revision {
                 break;
             }
-            if Instant::now() > end {
-                return Err(CtlError::NotInForce { revision, entry: entry.clone(), held });
+            if Instant::now() > deadline {
+                return Err(CtlError::RevisionTimeout { revision, entry: entry.clone(), current });
             }
-            sleep(WAIT_POLL).await;
+            sleep(WAIT_POLL_INTERVAL).await;
         }
     }
-    Ok(format!("revision {revision} is in force at {}\n", entries.join(", ")))
+    Ok(format!("revision {revision} is applied at {}\n", entries.join(", ")))
 }
--- a/crates/bulrushusher_ctl/src/lib.rs
+++ b/crates/bulrushusher_ctl/src/lib.rs
@@ -1,13 +1,13 @@
-//! `bulrushctl`: the operators' command. See [`command`] for its command line.
+//! `bulrushctl`: the command-line client for operators. See [`command`] for its arguments.
 
 mod apply;
 mod cli;
 mod error;
 mod losses;
 mod quotas;
+mod reconcile;
 mod show;
-mod writing;
 
-pub use apply::{Desired, read_desired};
+pub use apply::{DesiredObjects, read_desired};
 pub use cli::{SETTINGS, command, execute};
 pub use error::{CtlError, EXIT_CONFLICT, EXIT_FAILED, EXIT_UNREACHABLE, EXIT_USAGE};
--- a/crates/bulrushusher_ctl/src/main.rs
+++ b/crates/bulrushusher_ctl/src/main.rs
@@ -1,4 +1,5 @@
-//! `bulrushctl`: creates and lists closings, endpoints and accounts; drains; shows status.
+//! `bulrushctl`: manages closings, endpoints and client accounts, drains endpoints and shows the
+//! status of entries.
 
 use std::process::ExitCode;
 
--- a/crates/bulrushusher_ctl/src/quotas.rs
+++ b/crates/bulrushusher_ctl/src/quotas.rs
@@ -1,4 +1,4 @@
-//! `bulrushctl quotas`: what client accounts used of their quotas, from gateways' metrics.
+//! `bulrushctl quotas`: quota use of client accounts, from gateway metrics.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,15 +8,15 @@
 use clap::{Arg, ArgMatches, Command, value_parser};
 
 use crate::CtlError;
-use crate::show::{Output, Rows};
+use crate::show::{OutputFormat, Rows};
 
 const HEADING: [&str; 5] = ["account", "used", "quota", "worst_window", "refused"];
 
-/// Longest wait for a gateway's metrics.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout for reading the metrics of one gateway.
+const METRICS_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The metric of which one line tells one figure of one account.
-const METRIC: &str = "bulrush_gateway_account{";
+/// Prefix of the metric with one line per value and client account.
+const ACCOUNT_METRIC_PREFIX: &str = "bulrush_gateway_account{";
 
 pub(crate) fn command() -> Command {
     let gateways = Arg::new("gateway")
@@ -26,23 +26,24 @@
         .value_parser(value_parser!(SocketAddr))
         .help("Metrics addresses of gateways");
     Command::new("quotas")
-        .about("What client accounts used of their quotas, from gateways' metrics")
+        .about("Show the quota use of client accounts, from gateway metrics")
         .after_help("Example: bulrushctl quotas 10.1.0.35:9464 10.1.0.36:9464")
         .arg(gateways)
 }
 
-/// What one account used: the most that a gateway tells of use at all of them, and what each refused.
+/// Quota use of one client account. Each gateway exports its estimate of the use at all gateways, so
+/// these values are merged by maximum. Refusals are local to a gateway and are added up.
 #[derive(Clone, Copy, Debug, Default)]
-struct Use {
+struct AccountUse {
     used: u64,
     quota: u64,
     worst_window: u64,
     refused: u64,
 }
 
-/// Reads the metrics of gateways and shows the accounts.
-pub(crate) async fn quotas(args: &ArgMatches, output: Output) -> Result<String, CtlError> {
-    let mut accounts: BTreeMap<String, Use> = BTreeMap::new();
+/// Reads the metrics of gateways and renders one row per client account.
+pub(crate) async fn quotas(args: &ArgMatches, output: OutputFormat) -> Result<String, CtlError> {
+    let mut accounts: BTreeMap<String, AccountUse> = BTreeMap::new();
     for gateway in args.get_many::<SocketAddr>("gateway").unwrap_or_default() {
         let parts = RequestParts {
             method: "GET",
@@ -50,37 +51,37 @@
             headers: &[],
             body: Default::default(),
         };
-        let reply = HttpClient::new().call(*gateway, parts, TIMEOUT).await;
-        let no_metrics =
-            |e: HttpError| CtlError::NoMetrics { gateway: *gateway, cause: e.to_string() };
-        let reply = reply.map_err(no_metrics)?;
-        add(&mut accounts, &String::from_utf8_lossy(&reply.body));
+        let reply = HttpClient::new().call(*gateway, parts, METRICS_TIMEOUT).await;
+        let unavailable =
+            |e: HttpError| CtlError::MetricsUnavailable { gateway: *gateway, cause: e.to_string() };
+        let reply = reply.map_err(unavailable)?;
+        merge_metrics(&mut accounts, &String::from_utf8_lossy(&reply.body));
     }
-    let row = |(name, it): (&String, &Use)| {
-        let figures = [it.used, it.quota, it.worst_window, it.refused].map(Into::into);
-        std::iter::once(name.as_str().into()).chain(figures).collect()
+    let row = |(name, account): (&String, &AccountUse)| {
+        let values = [account.used, account.quota, account.worst_window, account.refused];
+        std::iter::once(name.as_str().into()).chain(values.map(Into::into)).collect()
     };
     let rows = accounts.iter().map(row).collect();
-    Ok(Rows { heading: HEADING.to_vec(), rows }.show(output))
+    Ok(Rows { heading: HEADING.to_vec(), rows }.render(output))
 }
 
-/// Adds what one gateway's metrics tell.
-fn add(accounts: &mut BTreeMap<String, Use>, metrics: &str) {
-    for (account, what, value) in metrics.lines().filter_map(figure) {
-        let known = accounts.entry(account.to_owned()).or_default();
+/// Merges the metrics of one gateway into `accounts`.
+fn merge_metrics(accounts: &mut BTreeMap<String, AccountUse>, metrics: &str) {
+    for (account, what, value) in metrics.lines().filter_map(parse_metric) {
+        let total = accounts.entry(account.to_owned()).or_default();
         match what {
-            "used" => known.used = known.used.max(value),
-            "quota" => known.quota = known.quota.max(value),
-            "worst_window" => known.worst_window = known.worst_window.max(value),
-            "refused" => known.refused += value,
+            "used" => total.used = total.used.max(value),
+            "quota" => total.quota = total.quota.max(value),
+            "worst_window" => total.worst_window = total.worst_window.max(value),
+            "refused" => total.refused += value,
             _ => {}
         }
     }
 }
 
-/// Account, figure and value of a line; `None` for other metrics.
-fn figure(line: &str) -> Option<(&str, &str, u64)> {
-    let (labels, value) = line.strip_prefix(METRIC)?.split_once("} ")?;
+/// Parses account, label `what` and value of a line; `None` for other metrics.
+fn parse_metric(line: &str) -> Option<(&str, &str, u64)> {
+    let (labels, value) = line.strip_prefix(ACCOUNT_METRIC_PREFIX)?.split_once("} ")?;
     let label = |name: &str| {
         let (_, rest) = labels.split_once(&format!("{name}=\""))?;
         rest.split_once('"').map(|(value, _)| value)
--- a/crates/bulrushusher_ctl/src/show.rs
+++ b/crates/bulrushusher_ctl/src/show.rs
@@ -1,27 +1,27 @@
-//! Replies as tables or JSON.
+//! Renders replies as tables or JSON.
 
 use bulrushusher_operator::v1;
 use comfy_table::{Table, presets};
 use serde_json::{Value, json};
 
-/// How replies are shown.
+/// Format of the output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Output {
+pub(crate) enum OutputFormat {
     Table,
     Json,
 }
 
-/// Rows under a heading.
+/// A table with the names of its columns.
 pub(crate) struct Rows {
     pub(crate) heading: Vec<&'static str>,
     pub(crate) rows: Vec<Vec<Value>>,
 }
 
 impl Rows {
-    /// The rows as text.
-    pub(crate) fn show(&self, output: Output) -> String {
+    /// Renders the rows: as a table, or as a JSON array of objects keyed by the columns.
+    pub(crate) fn render(&self, output: OutputFormat) -> String {
         match output {
-            Output::Json => {
+            OutputFormat::Json => {
                 let object = |row: &Vec<Value>| -> Value {
                     let pairs = self.heading.iter().map(|h| (*h).to_owned()).zip(row.clone());
                     Value::Object(pairs.collect())
@@ -29,7 +29,7 @@
                 let all: Vec<Value> = self.rows.iter().map(object).collect();
                 format!("{}\n", Value::Array(all))
             }
-            Output::Table => {
+            OutputFormat::Table => {
                 let mut table = Table::new();
                 table.load_preset(presets::UTF8_HORIZONTAL_ONLY);
                 table.set_header(&self.heading);
@@ -128,14 +128,15 @@
 
 pub(crate) fn status(status: &v1::StatusReply) -> Rows {
     let row = |e: &v1::EndpointStatus| {
-        let heard = (e.heard_ms_ago != u64::MAX).then_some(e.heard_ms_ago);
+        // An entry that has no load report of an endpoint sends `u64::MAX`.
+        let report_age_ms = (e.heard_ms_ago != u64::MAX).then_some(e.heard_ms_ago);
         vec![
             json!(e.name),
             json!(e.leaving),
             json!(e.used),
             json!(e.places),
             json!(e.waiting),
-            json!(heard),
+            json!(report_age_ms),
         ]
     };
     Rows {
--- a/crates/bulrushusher_losses/src/end.rs
+++ b/crates/bulrushusher_losses/src/end.rs
@@ -1,48 +1,49 @@
-//! How requests end.
+//! Outcomes of requests.
 
 use std::sync::Arc;
 
 use derive_more::Display;
 
-/// What made an answer late: the longest of the parts of its time, or what came before.
+/// Why a response was late: its longest phase, or a refusal that preceded it.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
-pub enum LateBy {
-    /// It had been refused before, and its target was past when it came back.
+pub enum LateCause {
+    /// The request had been refused before, and its latency target had passed when the caller
+    /// retried.
     #[display("a refusal and the return")]
-    Return,
-    /// It waited for decode memory, or for its turn at it.
+    CallerRetry,
+    /// The request was queued for decode memory.
     #[display("waiting for memory")]
-    Memory,
-    /// Its prompt took too long to be read.
+    MemoryWait,
+    /// Prefill took too long.
     #[display("reading")]
-    Reading,
-    /// The run's first event, or the answer of a call, took too long.
+    Prefill,
+    /// The first event of the run, or the response of a call, took too long.
     #[display("the runner's answer")]
     Runner,
-    /// A first attempt failed and the repeat came too late.
+    /// An attempt failed and the gateway's retry finished too late.
     #[display("a repeat")]
-    Repeat,
-    /// A pause between two events was too long.
+    GatewayRetry,
+    /// The gap between two events was too long.
     #[display("a pause")]
-    Pause,
+    EventGap,
 }
 
-/// What broke an answer off, or left it without a whole one.
+/// Why a response is missing or incomplete.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
-pub enum BrokenBy {
-    /// Its runner's connection broke.
+pub enum BreakCause {
+    /// The connection to the runner broke.
     #[display("its runner")]
     Runner,
-    /// Its runner stayed silent.
+    /// The runner sent nothing until a timeout.
     #[display("silence of its runner")]
-    Silence,
-    /// Its runner left.
+    RunnerTimeout,
+    /// The runner was drained.
     #[display("its runner's leaving")]
-    Leaving,
-    /// Its time was over.
+    RunnerDrained,
+    /// The deadline of the request passed.
     #[display("the deadline")]
     Deadline,
-    /// The gateway stopped.
+    /// The gateway stopped or was killed.
     #[display("the gateway's stop")]
     Gateway,
 }
@@ -50,31 +51,31 @@
 /// How a request ended.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum End {
-    /// Whole and on time.
+    /// Complete and on time.
     #[display("on time")]
     OnTime,
-    /// Whole, but late.
+    /// Complete, but late.
     #[display("late by {_0}")]
-    Late(LateBy),
-    /// Refused as not run; the cause as the log tells it.
+    Late(LateCause),
+    /// Refused without being run, with the cause from the log.
     #[display("refused: {_0}")]
     Refused(Arc<str>),
-    /// Broken off, or ended without an answer although it may have run.
+    /// Incomplete, or ended without a response although the request may have run.
     #[display("broken off by {_0}")]
-    Broken(BrokenBy),
-    /// The runner's own failure was passed on.
+    Broken(BreakCause),
+    /// The runner returned an error, which was forwarded to the caller.
     #[display("failed at its runner")]
     Failed,
-    /// The caller left.
+    /// The caller disconnected before the deadline.
     #[display("given up by its caller")]
     GivenUp,
-    /// The log does not tell its end.
+    /// The log contains no end of the request.
     #[display("no end in the log")]
     Open,
 }
 
 impl End {
-    /// One word for the kind of end.
+    /// The kind of outcome, without its cause, as a label.
     pub fn kind(&self) -> &'static str {
         match self {
             End::OnTime => "on_time",
--- a/crates/bulrushusher_losses/src/lib.rs
+++ b/crates/bulrushusher_losses/src/lib.rs
@@ -1,7 +1,7 @@
-//! Losses: what happened to each request of a run, and why, from gateways' logs.
+//! Reconstructs from gateway logs how each request ended and why.
 //!
-//! [`Reader`] takes in lines of any gateways' logs in any order of files, [`Losses`] sums up what
-//! became of the requests. Lines that are cut or not a gateway's are counted and passed over.
+//! [`LogReader`] parses the logs of any number of gateways, in any order of files. [`Losses`] counts
+//! the outcomes of the requests. Truncated lines and lines of other programs are counted and skipped.
 
 mod end;
 mod line;
@@ -10,9 +10,9 @@
 mod reader;
 mod request;
 
-pub use end::{BrokenBy, End, LateBy};
-pub use line::{Line, LineError};
-pub use losses::{Group, Losses, Sums};
-pub use plot::draw;
-pub use reader::{Reader, Seen};
+pub use end::{BreakCause, End, LateCause};
+pub use line::{LineError, LogLine};
+pub use losses::{EndCounts, GroupBy, Losses};
+pub use plot::draw_losses;
+pub use reader::{LogReader, ReadStats};
 pub use request::Request;
--- a/crates/bulrushusher_losses/src/losses.rs
+++ b/crates/bulrushusher_losses/src/losses.rs
@@ -1,4 +1,4 @@
-//! Sums over requests.
+//! Counts of outcomes over groups of requests.
 
 use std::collections::BTreeMap;
 
@@ -6,68 +6,68 @@
 
 use crate::{End, Request};
 
-/// By what requests are summed.
+/// How requests are grouped.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Group {
-    /// The kind of request.
+pub enum GroupBy {
+    /// By route.
     #[display("route")]
     Route,
-    /// The second in which it came, from the first request on.
+    /// By second of arrival, relative to the first request.
     #[display("second")]
     Second,
-    /// The runner that had it last.
+    /// By the last runner that the request was sent to.
     #[display("runner")]
     Runner,
-    /// The gateway's data centre.
+    /// By data centre of the gateway.
     #[display("data-centre")]
     DataCentre,
-    /// The size of its prompt among those of its kind.
+    /// By size of the prompt, relative to the prompts of the same route.
     #[display("size")]
     Size,
-    /// How it ended, with the cause.
+    /// By route and outcome with its cause.
     #[display("cause")]
     Cause,
 }
 
-impl Group {
-    /// All, by the word that names each.
-    pub const ALL: [(&str, Group); 6] = [
-        ("route", Group::Route),
-        ("second", Group::Second),
-        ("runner", Group::Runner),
-        ("data-centre", Group::DataCentre),
-        ("size", Group::Size),
-        ("cause", Group::Cause),
+impl GroupBy {
+    /// All groupings, with the name of each on the command line.
+    pub const ALL: [(&str, GroupBy); 6] = [
+        ("route", GroupBy::Route),
+        ("second", GroupBy::Second),
+        ("runner", GroupBy::Runner),
+        ("data-centre", GroupBy::DataCentre),
+        ("size", GroupBy::Size),
+        ("cause", GroupBy::Cause),
     ];
 }
 
-/// How many requests ended in which way.
+/// Number of requests by kind of outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sums {
-    /// All attempts of callers.
+pub struct EndCounts {
+    /// All requests, with callers' retries counted separately.
     pub attempts: u64,
-    /// Those that had come before and were refused, as far as gateways could tell.
+    /// Retries of callers after a refusal, as far as gateways recognised them.
     pub returns: u64,
-    /// Whole and on time.
+    /// Complete and on time.
     pub on_time: u64,
-    /// Whole and late.
+    /// Complete, but late.
     pub late: u64,
-    /// Refused as not run.
+    /// Refused without being run.
     pub refused: u64,
-    /// Broken off, or without a whole answer.
+    /// Incomplete, or ended without a response.
     pub broken_off: u64,
-    /// The runner's own failure was passed on.
+    /// The runner returned an error, which was forwarded.
     pub failed: u64,
-    /// The caller left.
+    /// The caller disconnected.
     pub given_up: u64,
-    /// The log does not tell.
+    /// The log contains no end.
     pub open: u64,
 }
 
-impl Sums {
+impl EndCounts {
     fn add(&mut self, request: &Request) {
         self.attempts += 1;
-        self.returns += u64::from(request.is_return());
+        self.returns += u64::from(request.is_caller_retry());
         let count = match request.end() {
             End::OnTime => &mut self.on_time,
             End::Late(_) => &mut self.late,
@@ -80,8 +80,8 @@
         *count += 1;
     }
 
-    /// The sum of all ends; as many as there were attempts.
-    pub fn ends(&self) -> u64 {
+    /// Sum of all outcomes; equal to `attempts`.
+    pub fn total_ends(&self) -> u64 {
         self.on_time
             + self.late
             + self.refused
@@ -92,47 +92,48 @@
     }
 }
 
-/// Requests summed by one thing, in order of its names.
+/// Counts of outcomes per group, ordered by the group's name.
 #[derive(Clone, Debug, Default)]
 pub struct Losses {
-    /// The sums, by name.
-    pub groups: BTreeMap<String, Sums>,
+    /// The counts by name of the group.
+    pub groups: BTreeMap<String, EndCounts>,
 }
 
-/// Shares of a kind of request, by the size of their prompts: the largest tenth, and the next fifth.
-const LARGEST: f64 = 0.9;
-const LARGE: f64 = 0.7;
+/// Quantiles of prompt sizes per route, above which a prompt counts among the largest tenth and among
+/// the next fifth.
+const LARGEST_QUANTILE: f64 = 0.9;
+const LARGE_QUANTILE: f64 = 0.7;
 
 impl Losses {
-    /// Sums requests by `group`.
-    pub fn of(requests: &[Request], group: Group) -> Losses {
+    /// Counts the outcomes of `requests` per group.
+    pub fn by_group(requests: &[Request], group: GroupBy) -> Losses {
         let first_ms = requests.iter().map(|request| request.at_ms).min().unwrap_or(0);
-        let sizes = sizes_by_route(requests);
+        let sizes = size_bounds_by_route(requests);
         let mut losses = Losses::default();
         for request in requests {
             let name = match group {
-                Group::Route => request.route.to_string(),
-                Group::Second => format!("{:4}", (request.at_ms - first_ms) / 1_000),
-                Group::Runner => request.runner.as_deref().unwrap_or("none").to_owned(),
-                Group::DataCentre => request.data_centre.to_string(),
-                Group::Size => size_word(request, &sizes),
-                Group::Cause => cause_word(request),
+                GroupBy::Route => request.route.to_string(),
+                GroupBy::Second => format!("{:4}", (request.at_ms - first_ms) / 1_000),
+                GroupBy::Runner => request.runner.as_deref().unwrap_or("none").to_owned(),
+                GroupBy::DataCentre => request.data_centre.to_string(),
+                GroupBy::Size => size_name(request, &sizes),
+                GroupBy::Cause => cause_name(request),
             };
             losses.groups.entry(name).or_default().add(request);
         }
         losses
     }
 
-    /// All groups together.
-    pub fn total(requests: &[Request]) -> Sums {
-        let mut sums = Sums::default();
-        requests.iter().for_each(|request| sums.add(request));
-        sums
+    /// Counts the outcomes of all requests.
+    pub fn total(requests: &[Request]) -> EndCounts {
+        let mut counts = EndCounts::default();
+        requests.iter().for_each(|request| counts.add(request));
+        counts
     }
 }
 
-/// The sizes from which a prompt of each kind counts as large, and as one of the largest.
-fn sizes_by_route(requests: &[Request]) -> BTreeMap<&str, (u64, u64)> {
+/// Prompt sizes per route at [`LARGE_QUANTILE`] and [`LARGEST_QUANTILE`].
+fn size_bounds_by_route(requests: &[Request]) -> BTreeMap<&str, (u64, u64)> {
     let mut all: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for request in requests.iter().filter(|request| request.prompt > 0) {
         all.entry(&request.route).or_default().push(request.prompt);
@@ -140,25 +141,25 @@
     let bounds = |mut sizes: Vec<u64>| {
         sizes.sort_unstable();
         let at = |share: f64| sizes[((sizes.len() - 1) as f64 * share) as usize];
-        (at(LARGE), at(LARGEST))
+        (at(LARGE_QUANTILE), at(LARGEST_QUANTILE))
     };
     all.into_iter().map(|(route, sizes)| (route, bounds(sizes))).collect()
 }
 
-/// How a request ended; of a refusal, whether its caller had been told to come back.
-fn cause_word(request: &Request) -> String {
+/// Route and outcome of a request; marks the refusal of a caller's retry.
+fn cause_name(request: &Request) -> String {
     let end = request.end();
-    let again = matches!(end, End::Refused(_)) && request.is_return();
-    format!("{}: {end}{}", request.route, if again { ", when it came back" } else { "" })
+    let is_refused_retry = matches!(end, End::Refused(_)) && request.is_caller_retry();
+    format!("{}: {end}{}", request.route, if is_refused_retry { ", when it came back" } else { "" })
 }
 
-fn size_word(request: &Request, sizes: &BTreeMap<&str, (u64, u64)>) -> String {
-    let word = match sizes.get(request.route.as_ref()) {
+fn size_name(request: &Request, sizes: &BTreeMap<&str, (u64, u64)>) -> String {
+    let size = match sizes.get(request.route.as_ref()) {
         None => "no prompt",
         Some(_) if request.prompt == 0 => "no prompt",
         Some((_, largest)) if request.prompt > *largest => "largest tenth",
         Some((large, _)) if request.prompt > *large => "next fifth",
         Some(_) => "others",
     };
-    format!("{}: {word}", request.route)
+    format!("{}: {size}", request.route)
 }
