--- a/crates/bulrushusher_entry/src/entry.rs
+++ b/crates/bulrushusher_entry/src/entry.rs
@@ -120,7 +120,7 @@
     /// Counts a request as in flight until the returned guard is dropped.
     pub(crate) fn track_in_flight(self: &Arc<Shared>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
-        self.metrics.accepted();
+        self.metrics.record_accepted();
         InFlight(Arc::clone(self))
     }
 
@@ -129,12 +129,12 @@
     }
 
     pub(crate) fn record_error(&self, job: &Job, e: &ApiError) {
-        self.metrics.refused(&e.code.to_string());
+        self.metrics.record_refused(&e.code.to_string());
         log::info!("{LOG} {} of class {} ends with {e} ({})", job.key, job.class.name, e.run);
     }
 
     pub(crate) fn metrics_text(&self) -> String {
-        self.metrics.text()
+        self.metrics.render()
     }
 
     /// Records the load that an agent reported.
--- a/crates/bulrushusher_gateway/src/callers/front.rs
+++ b/crates/bulrushusher_gateway/src/callers/front.rs
@@ -100,7 +100,7 @@
             Ok(_) => "answered",
             Err(refusal) => refusal.outcome(),
         };
-        self.router.metrics.request(kind, result, took.0 as f64);
+        self.router.metrics.record_request(kind, result, took.0 as f64);
         let reply = match outcome {
             Ok(reply) => reply,
             Err(refusal) => {
--- a/crates/bulrushusher_gateway/src/placement/place.rs
+++ b/crates/bulrushusher_gateway/src/placement/place.rs
@@ -249,7 +249,7 @@
     if held.is_none() {
         cx.knowledge.give_permits_back(&runner, REQUESTS_PER_GENERATION - 1);
     }
-    cx.metrics.hold(result);
+    cx.metrics.record_memory_request(result);
     log::info!(
         "place: asked for memory id={} runner={} tokens={tokens} result={result} waited_ms={} \
          ms={}",
--- a/crates/bulrushusher_gateway/src/probes.rs
+++ b/crates/bulrushusher_gateway/src/probes.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use bulrushusher_forward::Stage;
-use bulrushusher_report::{AccountFigures, GatewayMetrics};
+use bulrushusher_report::{AccountUsage, GatewayMetrics};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -38,15 +38,15 @@
             }
             Probe::Metrics(knowledge, metrics) => {
                 record_state(knowledge, metrics);
-                (StatusCode::OK, metrics.text())
+                (StatusCode::OK, metrics.render())
             }
         }
     }
 }
 
 fn record_state(knowledge: &Knowledge, metrics: &GatewayMetrics) {
-    metrics.state("configuration_version", knowledge.routing().map_or(0, |r| r.version));
-    metrics.state("waiting", knowledge.waiting() as u64);
+    metrics.set_state("configuration_version", knowledge.routing().map_or(0, |r| r.version));
+    metrics.set_state("waiting", knowledge.waiting() as u64);
     let (all, prefill, decode) = knowledge.with_runners(|runners, now| {
         let count = |stage| {
             runners.members.all(now).filter(|runner| runner.stage == Some(stage)).count() as u64
@@ -55,15 +55,15 @@
         (all, count(Stage::Prefill), count(Stage::Decode))
     });
     record_accounts(knowledge, metrics);
-    metrics.state("quarantined_requests", knowledge.all_quarantined().len() as u64);
+    metrics.set_state("quarantined_requests", knowledge.all_quarantined().len() as u64);
     let pressure = knowledge.pressure_counts();
-    metrics.state("limited_runners", pressure.limited as u64);
+    metrics.set_state("limited_runners", pressure.limited as u64);
     let leaving = knowledge.with_runners(|runners, now| runners.members.drain_reports(now).len());
-    metrics.state("leaving_runners", leaving as u64);
-    metrics.state("backoff_runners", pressure.backing_off as u64);
-    metrics.state("runners", all);
-    metrics.state("prefill_runners", prefill);
-    metrics.state("decode_runners", decode);
+    metrics.set_state("leaving_runners", leaving as u64);
+    metrics.set_state("backoff_runners", pressure.backing_off as u64);
+    metrics.set_state("runners", all);
+    metrics.set_state("prefill_runners", prefill);
+    metrics.set_state("decode_runners", decode);
 }
 
 /// Number of accounts with their own metrics; those with the highest usage are chosen.
@@ -71,18 +71,18 @@
 
 fn record_accounts(knowledge: &Knowledge, metrics: &GatewayMetrics) {
     let age = knowledge.evidence_age().map_or(u64::MAX, |age| age.0);
-    metrics.state("configuration_evidence_age_ms", age);
+    metrics.set_state("configuration_evidence_age_ms", age);
     let mut uses = knowledge.account_uses();
     uses.sort_unstable_by(|a, b| b.used.total_cmp(&a.used).then(b.refused.cmp(&a.refused)));
     for usage in uses.into_iter().take(MAX_ACCOUNTS) {
         let quota = usage.quota.map_or(0.0, |quota| knowledge.in_a_window(quota));
-        let figures = AccountFigures {
+        let figures = AccountUsage {
             used: usage.used as u64,
-            worst: usage.peak as u64,
+            worst_window: usage.peak as u64,
             quota: quota as u64,
             refused: usage.refused,
         };
-        metrics.account(usage.account.as_str(), figures);
+        metrics.set_account_usage(usage.account.as_str(), figures);
     }
 }
 
--- a/crates/bulrushusher_gateway/src/runners/crashes.rs
+++ b/crates/bulrushusher_gateway/src/runners/crashes.rs
@@ -58,7 +58,7 @@
         let probing = tokio::spawn(async move {
             let Some(sign) = find_crash_sign(&cx, &runner).await else {
                 log::info!("quarantine: runner lives id={} runner={}", watch.id, runner.id);
-                return cx.metrics.crash("runner_lives");
+                return cx.metrics.record_crash("runner_lives");
             };
             watch.record_crash(&cx, &runner, ran_for, &sign);
         });
@@ -78,7 +78,7 @@
             CrashVerdict::Quarantined => ("quarantined", self.crashes_before + 1),
             CrashVerdict::Known => ("known", self.crashes_before),
         };
-        cx.metrics.crash(result);
+        cx.metrics.record_crash(result);
         log::info!(
             "quarantine: runner ended id={} digest={} runner={} ran_for_ms={} sign=\"{sign}\" \
              crashes={crashes} result={result}",
--- a/crates/bulrushusher_gateway/src/runners/exchange.rs
+++ b/crates/bulrushusher_gateway/src/runners/exchange.rs
@@ -138,7 +138,7 @@
             }
         };
         permitted.map_err(|cause| {
-            self.metrics.withheld(withheld_label(cause));
+            self.metrics.record_withheld_send(withheld_label(cause));
             ExchangeError::Withheld { cause }
         })
     }
@@ -193,7 +193,7 @@
         // Signals in the response of another runner at this address do not apply to this runner.
         if !info.wrong_runner {
             for kind in self.knowledge.hear_signals(runner, info.signals) {
-                self.metrics.signal(kind);
+                self.metrics.record_signal(kind);
             }
         }
         Ok(Reply { head, info, body, connection })
--- a/crates/bulrushusher_gateway/src/runners/router.rs
+++ b/crates/bulrushusher_gateway/src/runners/router.rs
@@ -172,7 +172,7 @@
         };
         self.knowledge.note_call(record.runner, result);
         let label = result_label(result);
-        self.metrics.attempt(record.step, label, took.0 as f64);
+        self.metrics.record_attempt(record.step, label, took.0 as f64);
         log::info!(
             "route: attempt ended id={} step={} runner={} result={label} detail=\"{}\" ms={} \
              left_ms={}",
--- a/crates/bulrushusher_gateway/src/runs/migration.rs
+++ b/crates/bulrushusher_gateway/src/runs/migration.rs
@@ -137,7 +137,7 @@
         Ok(_) => ("stopped", ""),
         Err(cause) => ("stays", cause.as_str()),
     };
-    cx.metrics.attempt("move", result, took.0 as f64);
+    cx.metrics.record_attempt("move", result, took.0 as f64);
     log::info!(
         "stream: run moves id={} from={} to={} made={generated} result={result} \
          cause=\"{cause}\" ms={}",
--- a/crates/bulrushusher_gateway/src/runs/stream.rs
+++ b/crates/bulrushusher_gateway/src/runs/stream.rs
@@ -73,7 +73,7 @@
             progress.longest_gap.0,
             took.0,
         );
-        cx.metrics.attempt("stream", result, took.0 as f64);
+        cx.metrics.record_attempt("stream", result, took.0 as f64);
         match end {
             RunEnd::Complete => {
                 cx.knowledge.note_answer(fwd.digest);
--- a/crates/bulrushusher_gateway/src/store/feed.rs
+++ b/crates/bulrushusher_gateway/src/store/feed.rs
@@ -308,7 +308,7 @@
     }
 
     fn note_call(&self, result: &'static str) {
-        self.metrics.store_call(self.topic.label(), result);
+        self.metrics.record_store_call(self.topic.label(), result);
     }
 
     fn share(&self, share: f64) -> Millis {
--- a/crates/bulrushusher_gateway/src/store/intake.rs
+++ b/crates/bulrushusher_gateway/src/store/intake.rs
@@ -179,7 +179,7 @@
             shortened(name),
             shortened(cause),
         );
-        self.metrics.store_call(topic.label(), "unreadable");
+        self.metrics.record_store_call(topic.label(), "unreadable");
         let id = RunnerId::try_from(name.as_str()).ok()?;
         (topic == Topic::Runners).then_some(RunnerChange::Unusable(id))
     }
--- a/crates/bulrushusher_gateway/src/store/orders.rs
+++ b/crates/bulrushusher_gateway/src/store/orders.rs
@@ -312,7 +312,7 @@
             // It may be carried out yet: the note stays until it must have been.
             Err(e) => ("unanswered", e.to_string()),
         };
-        self.metrics.order(result);
+        self.metrics.record_order(result);
         log::info!(
             "orders: stage runner={} to={stage} fence={fence} accepted_before={accepted} \
              result={result} detail=\"{detail}\"",
--- a/crates/bulrushusher_gateway/src/store/quarantine.rs
+++ b/crates/bulrushusher_gateway/src/store/quarantine.rs
@@ -42,7 +42,7 @@
         let mut restores = self.knowledge.restores();
         loop {
             while let Err(cause) = self.look().await {
-                self.metrics.store_call("quarantine", "failed");
+                self.metrics.record_store_call("quarantine", "failed");
                 log::info!("quarantine: record not read or written yet cause=\"{cause}\"");
                 tokio::time::sleep(TRY_AGAIN.duration()).await;
             }
@@ -58,7 +58,7 @@
     async fn look(&self) -> Result<(), String> {
         let record = self.store.read_record(RECORD, CALL_TIMEOUT).await;
         let record = record.map_err(|e| e.to_string())?;
-        self.metrics.store_call("quarantine", "read");
+        self.metrics.record_store_call("quarantine", "read");
         let (revision, held) = match record {
             Some(record) => (Some(record.revision), read(record.value).requests),
             None => (None, Vec::new()),
@@ -85,7 +85,7 @@
         let written = self.store.write_record(RECORD, value, revision, CALL_TIMEOUT).await;
         match written.map_err(|e| e.to_string())? {
             RecordWrite::Written(revision) => {
-                self.metrics.store_call("quarantine", "written");
+                self.metrics.record_store_call("quarantine", "written");
                 log::info!("quarantine: written requests={count} revision={revision}");
                 Ok(())
             }
--- a/crates/bulrushusher_gateway/src/store/renewing.rs
+++ b/crates/bulrushusher_gateway/src/store/renewing.rs
@@ -82,7 +82,7 @@
             answer => answer,
         };
         let word = if answer.is_ok() { "renewed" } else { "not_renewed" };
-        self.metrics.store_call("configuration", word);
+        self.metrics.record_store_call("configuration", word);
         let news = answer.map_err(|e| e.to_string())?;
         self.intake.take_changes(topic, after, news);
         self.knowledge.renew_lease(asked_at);
--- a/crates/bulrushusher_report/src/metrics.rs
+++ b/crates/bulrushusher_report/src/entry.rs
@@ -1,4 +1,4 @@
-//! Metrics by `opentelemetry`, with the text that a scraper reads.
+//! Metrics of an entry.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::Counter;
@@ -14,12 +14,12 @@
 }
 
 impl EntryMetrics {
-    /// Metrics that all carry the entry's name.
+    /// Creates the metrics; each has the entry's name as a resource attribute.
     ///
     /// ```
     /// let metrics = bulrushusher_report::EntryMetrics::new("entry-1");
-    /// metrics.accepted();
-    /// assert!(metrics.text().contains("bulrush_requests_accepted_total"));
+    /// metrics.record_accepted();
+    /// assert!(metrics.render().contains("bulrush_requests_accepted_total"));
     /// ```
     pub fn new(entry: &str) -> EntryMetrics {
         let exporter = Exporter::new("entry", entry);
@@ -35,18 +35,18 @@
         EntryMetrics { exporter, accepted, refused }
     }
 
-    /// A request passed the checks.
-    pub fn accepted(&self) {
+    /// Records a request that passed the entry's checks.
+    pub fn record_accepted(&self) {
         self.accepted.add(1, &[]);
     }
 
-    /// A request ended with the error of that code.
-    pub fn refused(&self, code: &str) {
+    /// Records a request that ended with the error `code`.
+    pub fn record_refused(&self, code: &str) {
         self.refused.add(1, &[KeyValue::new("code", code.to_owned())]);
     }
 
-    /// All metrics in the text form that scrapers read.
-    pub fn text(&self) -> String {
-        self.exporter.text()
+    /// Renders all metrics in the Prometheus text format.
+    pub fn render(&self) -> String {
+        self.exporter.render()
     }
 }
--- a/crates/bulrushusher_report/src/exporter.rs
+++ b/crates/bulrushusher_report/src/exporter.rs
@@ -1,11 +1,11 @@
-//! Where the metrics of a process are made, and the text that a scraper reads.
+//! Creates the metric instruments of a process and renders them for Prometheus.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Meter, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Registry, TextEncoder};
 
-/// Makes instruments by `opentelemetry` and renders them as text.
+/// Creates `opentelemetry` instruments and renders them in the Prometheus text format.
 #[derive(Debug)]
 pub struct Exporter {
     registry: Registry,
@@ -13,23 +13,23 @@
 }
 
 impl Exporter {
-    /// An exporter whose resource carries the name of the process under `kind`.
+    /// Creates an exporter whose resource has the attribute `kind` with the name of the process.
     ///
     /// ```
     /// let exporter = bulrushusher_report::Exporter::new("entry", "entry-1");
     /// exporter.meter().u64_counter("bulrush_starts").build().add(1, &[]);
-    /// assert!(exporter.text().contains("bulrush_starts_total"));
+    /// assert!(exporter.render().contains("bulrush_starts_total"));
     /// ```
     ///
     /// # Panics
-    /// When a fresh registry refuses the exporter: a mistake in the program.
+    /// If the new registry rejects the exporter, which is a bug.
     pub fn new(kind: &'static str, name: &str) -> Exporter {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .without_target_info()
             .build()
-            .expect("a fresh registry takes an exporter");
+            .expect("a new registry accepts an exporter");
         let resource = opentelemetry_sdk::Resource::builder()
             .with_attribute(KeyValue::new(kind, name.to_owned()))
             .build();
@@ -38,13 +38,13 @@
         Exporter { registry, provider }
     }
 
-    /// Makes instruments.
+    /// The meter that creates instruments.
     pub fn meter(&self) -> Meter {
         self.provider.meter("bulrush")
     }
 
-    /// All metrics in the text form that scrapers read.
-    pub fn text(&self) -> String {
+    /// Renders all metrics in the Prometheus text format.
+    pub fn render(&self) -> String {
         match TextEncoder::new().encode_to_string(&self.registry.gather()) {
             Ok(text) => text,
             Err(e) => format!("# metrics cannot be written: {e}\n"),
--- a/crates/bulrushusher_report/src/lib.rs
+++ b/crates/bulrushusher_report/src/lib.rs
@@ -1,11 +1,12 @@
-//! Figures: histograms per class, the two measures, service-level burn, and metrics.
+//! Metrics of entries and gateways, and latency, goodput and error-budget statistics per deliverable
+//! class.
 
+mod class_stats;
+mod entry;
 mod exporter;
-mod figures;
 mod gateway;
-mod metrics;
 
+pub use class_stats::{ClassReport, ClassStats, LatencyTargets, Percentiles};
+pub use entry::EntryMetrics;
 pub use exporter::Exporter;
-pub use figures::{ClassFigures, ClassReport, Percentiles, Targets};
-pub use gateway::{AccountFigures, GatewayMetrics};
-pub use metrics::EntryMetrics;
+pub use gateway::{AccountUsage, GatewayMetrics};
--- a/crates/bulrushusher_standin/src/main.rs
+++ b/crates/bulrushusher_standin/src/main.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use bulrushusher_config::{EXIT_BAD_SETTINGS, init_logs};
-use bulrushusher_report::{ClassFigures, Targets};
+use bulrushusher_report::{ClassStats, LatencyTargets};
 use bulrushusher_standin::caller::{Caller, Outcome};
 use bulrushusher_standin::load::{Flow, Kind, plan};
 use bulrushusher_standin::settings::{PROGRAM, StandinConfig};
@@ -91,8 +91,8 @@
         rate: matches.get_one::<f64>("rate").copied().unwrap_or(1.0),
         accounts: 1,
     };
-    let targets = Targets { ttft: Millis(600), per_token: Millis(71) };
-    let figures = Arc::new(Mutex::new(ClassFigures::new(&flow.class, targets)));
+    let targets = LatencyTargets { ttft: Millis(600), per_token: Millis(71) };
+    let figures = Arc::new(Mutex::new(ClassStats::new(&flow.class, targets)));
     let lost = Arc::new(AtomicU64::new(0));
     let caller = Caller::new(entries);
     let start = Instant::now();
@@ -106,10 +106,10 @@
         let (caller, figures, lost) = (caller.clone(), Arc::clone(&figures), Arc::clone(&lost));
         open.spawn(async move {
             let outcome = caller.send(&request.call, number).await;
-            figures.lock().accepted();
+            figures.lock().record_accepted();
             match outcome {
                 Outcome::Answered { ttft, per_token_ms } => {
-                    figures.lock().answered(ttft, per_token_ms);
+                    figures.lock().record_answered(ttft, per_token_ms);
                 }
                 Outcome::Refused { code, run, .. } => println!("refused: {code} ({run})"),
                 Outcome::Cancelled => {}
--- a/tools/bulrushusher_testbed/src/run.rs
+++ b/tools/bulrushusher_testbed/src/run.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bulrushusher_report::{ClassFigures, Targets};
+use bulrushusher_report::{ClassStats, LatencyTargets};
 use bulrushusher_routing::Policy;
 use bulrushusher_standin::caller::{Call, Caller, Outcome};
 use bulrushusher_standin::load::{Planned, fresh_key, plan};
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 struct Collected {
     tally: Tally,
-    figures: Vec<ClassFigures>,
+    figures: Vec<ClassStats>,
 }
 
 /// Runs a deployment under a plan. Returns the report, and the prompt tokens that were prefilled.
@@ -82,8 +82,8 @@
     let targets = [&deployment.prompts, &deployment.calls];
     let figures = targets
         .map(|class| {
-            let targets = Targets { ttft: class.ttft, per_token: class.per_token };
-            ClassFigures::new(class.name, targets)
+            let targets = LatencyTargets { ttft: class.ttft, per_token: class.per_token };
+            ClassStats::new(class.name, targets)
         })
         .to_vec();
     let collected = Arc::new(Mutex::new(Collected { tally: Tally::default(), figures }));
@@ -172,9 +172,9 @@
         let outcome = self.caller.send(&call, entry).await;
         self.progress.lock().ended += 1;
         let mut collected = self.collected.lock();
-        collected.figures[flow].accepted();
+        collected.figures[flow].record_accepted();
         if let Outcome::Answered { ttft, per_token_ms } = &outcome {
-            collected.figures[flow].answered(*ttft, *per_token_ms);
+            collected.figures[flow].record_answered(*ttft, *per_token_ms);
         }
         let idempotent = self.flows[flow].idempotent;
         collected.tally.note(&Ended { key: call.key, idempotent, outcome });
