--- a/crates/bulrushusher_ctl/src/losses.rs
+++ b/crates/bulrushusher_ctl/src/losses.rs
@@ -26,7 +26,7 @@
         .num_args(1..)
         .value_name("LOG")
         .value_parser(value_parser!(PathBuf))
-        .help("Standard output of gateways; lines without a gateway name are attributed to the file name");
+        .help("Standard output of gateways; a file's name stands in for a missing gateway name");
     let by = Arg::new("by")
         .long("by")
         .value_parser(GroupBy::ALL.map(|(name, _)| name))
--- a/crates/bulrushusher_ctl/src/quotas.rs
+++ b/crates/bulrushusher_ctl/src/quotas.rs
@@ -31,8 +31,8 @@
         .arg(gateways)
 }
 
-/// Quota use of one client account. Each gateway exports its estimate of the use at all gateways, so
-/// these values are merged by maximum. Refusals are local to a gateway and are added up.
+/// Quota use of one client account. Each gateway exports its estimate of the use at all gateways,
+/// so these values are merged by maximum. Refusals are local to a gateway and are added up.
 #[derive(Clone, Copy, Debug, Default)]
 struct AccountUse {
     used: u64,
--- a/crates/bulrushusher_losses/src/lib.rs
+++ b/crates/bulrushusher_losses/src/lib.rs
@@ -1,7 +1,8 @@
 //! Reconstructs from gateway logs how each request ended and why.
 //!
-//! [`LogReader`] parses the logs of any number of gateways, in any order of files. [`Losses`] counts
-//! the outcomes of the requests. Truncated lines and lines of other programs are counted and skipped.
+//! [`LogReader`] parses the logs of any number of gateways, in any order of files. [`Losses`]
+//! counts the outcomes of the requests. Truncated lines and lines of other programs are counted and
+//! skipped.
 
 mod end;
 mod line;
--- a/crates/bulrushusher_losses/src/losses.rs
+++ b/crates/bulrushusher_losses/src/losses.rs
@@ -99,8 +99,8 @@
     pub groups: BTreeMap<String, EndCounts>,
 }
 
-/// Quantiles of prompt sizes per route, above which a prompt counts among the largest tenth and among
-/// the next fifth.
+/// Quantiles of prompt sizes per route, above which a prompt counts among the largest tenth and
+/// among the next fifth.
 const LARGEST_QUANTILE: f64 = 0.9;
 const LARGE_QUANTILE: f64 = 0.7;
 
--- a/crates/bulrushusher_losses/src/reader.rs
+++ b/crates/bulrushusher_losses/src/reader.rs
@@ -70,8 +70,8 @@
             return;
         }
         let Some(id) = line.text("id").filter(|_| is_request_event(line.event)) else { return };
-        // A caller's retry has a new id. The same id may occur at two gateways, so the gateway is part
-        // of the key.
+        // A caller's retry has a new id. The same id may occur at two gateways, so the gateway is
+        // part of the key.
         let request = self.requests.entry((gateway.clone(), id.into())).or_default();
         request.gateway = gateway;
         request.apply_line(line);
--- a/crates/bulrushusher_losses/src/request.rs
+++ b/crates/bulrushusher_losses/src/request.rs
@@ -128,8 +128,8 @@
         }
     }
 
-    /// The outcome of a request without a response: its gateway was killed, or its caller disconnected
-    /// first.
+    /// The outcome of a request without a response: its gateway was killed, or its caller
+    /// disconnected first.
     fn end_without_response(&self) -> End {
         match (self.is_accepted(), self.gateway_restarted) {
             (true, true) => End::Broken(BreakCause::Gateway),
@@ -170,8 +170,8 @@
         }
     }
 
-    /// The outcome of a complete response: on time, or late with the cause. A preceding refusal is the
-    /// cause if there was one, else the longest phase.
+    /// The outcome of a complete response: on time, or late with the cause. A preceding refusal is
+    /// the cause if there was one, else the longest phase.
     fn end_by_latency(&self, ms: u64, longest_gap_ms: u64) -> End {
         let is_on_time = self.elapsed_before_ms + ms <= self.target_ms;
         if is_on_time && (self.gap_target_ms == 0 || longest_gap_ms <= self.gap_target_ms) {
--- a/crates/bulrushusher_losses/tests/losses.rs
+++ b/crates/bulrushusher_losses/tests/losses.rs
@@ -105,8 +105,8 @@
     assert!(svg.contains("on time") && svg.contains("refused"));
 }
 
-/// Requests that were in flight when a gateway was killed are attributed to the gateway once the log
-/// contains its restart.
+/// Requests that were in flight when a gateway was killed are attributed to the gateway once the
+/// log contains its restart.
 #[test]
 fn requests_in_flight_at_a_restart_are_broken_by_the_gateway() {
     const LOG: &str = "\
--- a/crates/bulrushusher_model/src/bound.rs
+++ b/crates/bulrushusher_model/src/bound.rs
@@ -1,88 +1,92 @@
-//! The most callers that anybody could serve on time: what a planner that knew every answer's length
-//! and every arrival could not exceed.
+//! An upper bound on the callers that can be served on time, which holds even for a scheduler that
+//! knows the length of every answer and every arrival in advance.
 
 use crate::Fleet;
 use crate::load::Arrival;
-use crate::play::TARGET;
+use crate::simulation::TTFT_TARGET;
 
-/// Distance of the bounds of intervals that are looked at, in ms.
-const GRID_MS: f64 = 500.0;
+/// Spacing of the endpoints of the examined intervals, in ms.
+const INTERVAL_GRID_MS: f64 = 500.0;
 
-/// What a caller takes of decode memory at the least.
-struct Need {
-    /// Its run begins between these, in ms.
-    earliest: f64,
-    latest: f64,
-    /// How long it runs, in ms.
-    took: f64,
+/// The minimum use of decode memory by a caller that is served on time.
+struct MinMemoryUse {
+    /// Earliest and latest start of the run, in ms.
+    earliest_start: f64,
+    latest_start: f64,
+    /// Duration of the run, in ms.
+    duration: f64,
+    /// Tokens.
     prompt: f64,
     tokens_per_ms: f64,
 }
 
-impl Need {
-    fn of(fleet: &Fleet, caller: &Arrival) -> Need {
-        let figures = fleet.figures;
-        let step = figures.step_ms + figures.step_ms_per_run;
+impl MinMemoryUse {
+    fn of(fleet: &Fleet, caller: &Arrival) -> MinMemoryUse {
+        let engine = fleet.engine;
+        let step = engine.step_ms + engine.step_ms_per_run;
         let at = caller.at.0 as f64;
-        Need {
-            earliest: at + caller.prompt / figures.read_tokens_per_ms,
-            latest: at + TARGET.0 as f64,
-            took: caller.output * step,
+        MinMemoryUse {
+            earliest_start: at + caller.prompt / engine.prefill_tokens_per_ms,
+            latest_start: at + TTFT_TARGET.0 as f64,
+            duration: caller.output * step,
             prompt: caller.prompt,
             tokens_per_ms: 1.0 / step,
         }
     }
 
-    /// Tokens times ms within an interval, whenever the run begins: a run that is moved on over an
-    /// interval takes more of it and then less, so that one of the two ends is the least.
+    /// Minimum token-milliseconds used within an interval over all possible starts of the run. As
+    /// the start moves later, the use within the interval first grows and then shrinks, so the
+    /// minimum is at the earliest or the latest start.
     fn within(&self, from: f64, until: f64) -> f64 {
-        let taken = |begin: f64| {
-            let first = (from - begin).clamp(0.0, self.took);
-            let last = (until - begin).clamp(0.0, self.took);
-            let grown = self.tokens_per_ms * (last * last - first * first) / 2.0;
-            self.prompt * (last - first) + grown
+        let used = |start: f64| {
+            let first = (from - start).clamp(0.0, self.duration);
+            let last = (until - start).clamp(0.0, self.duration);
+            let generated = self.tokens_per_ms * (last * last - first * first) / 2.0;
+            self.prompt * (last - first) + generated
         };
-        taken(self.earliest).min(taken(self.latest))
+        used(self.earliest_start).min(used(self.latest_start))
     }
 }
 
 /// An upper bound on the callers that are served on time.
 ///
-/// Whatever a planner does, the runs that reach into an interval share the memory of that interval.
-/// Those that take least of it are counted as served, and engines as quick as with one run each.
+/// Under any schedule the runs that overlap an interval share the memory of that interval. The
+/// bound counts the runs that use least of it as served, and takes the speed of engines with a
+/// single run.
 ///
 /// ```
-/// use bulrushusher_model::{Fleet, Load, arrivals, most_on_time};
-/// let usual = arrivals(&Load::default(), 1);
-/// assert_eq!(most_on_time(&Fleet::default(), &usual), usual.len());
-/// let crowd = arrivals(&Load { per_second: 130.0, ..Load::default() }, 1);
-/// assert!(most_on_time(&Fleet::default(), &crowd) < crowd.len(), "not all of ten times as many");
+/// use bulrushusher_model::{Fleet, Load, generate_arrivals, max_on_time};
+/// let usual = generate_arrivals(&Load::default(), 1);
+/// assert_eq!(max_on_time(&Fleet::default(), &usual), usual.len());
+/// let crowd = generate_arrivals(&Load { per_second: 130.0, ..Load::default() }, 1);
+/// assert!(max_on_time(&Fleet::default(), &crowd) < crowd.len(), "not all of ten times as many");
 /// ```
-pub fn most_on_time(fleet: &Fleet, callers: &[Arrival]) -> usize {
-    let needs: Vec<Need> = callers.iter().map(|caller| Need::of(fleet, caller)).collect();
-    let end = needs.iter().map(|need| need.latest + need.took).fold(0.0, f64::max);
+pub fn max_on_time(fleet: &Fleet, callers: &[Arrival]) -> usize {
+    let uses: Vec<MinMemoryUse> =
+        callers.iter().map(|caller| MinMemoryUse::of(fleet, caller)).collect();
+    let end = uses.iter().map(|it| it.latest_start + it.duration).fold(0.0, f64::max);
     let bounds: Vec<f64> =
-        (0..).map(|n| f64::from(n) * GRID_MS).take_while(|at| *at < end).collect();
-    let mut most = callers.len();
+        (0..).map(|n| f64::from(n) * INTERVAL_GRID_MS).take_while(|at| *at < end).collect();
+    let mut max = callers.len();
     for from in &bounds {
         for until in bounds.iter().filter(|until| *until > from) {
-            most = most.min(most_with_interval(fleet, &needs, *from, *until));
+            max = max.min(max_for_interval(fleet, &uses, *from, *until));
         }
     }
-    most
+    max
 }
 
-/// The bound that one interval gives.
-fn most_with_interval(fleet: &Fleet, needs: &[Need], from: f64, until: f64) -> usize {
-    let mut taken: Vec<f64> = needs.iter().map(|need| need.within(from, until)).collect();
-    let mut left = fleet.figures.memory_tokens * fleet.decodes as f64 * (until - from);
-    if taken.iter().sum::<f64>() <= left {
-        return needs.len();
+/// The bound that follows from the memory of one interval.
+fn max_for_interval(fleet: &Fleet, uses: &[MinMemoryUse], from: f64, until: f64) -> usize {
+    let mut used: Vec<f64> = uses.iter().map(|it| it.within(from, until)).collect();
+    let mut free = fleet.engine.memory_tokens * fleet.decodes as f64 * (until - from);
+    if used.iter().sum::<f64>() <= free {
+        return uses.len();
     }
-    taken.sort_by(f64::total_cmp);
-    let fits = taken.iter().take_while(|need| {
-        left -= **need;
-        left >= 0.0
+    used.sort_by(f64::total_cmp);
+    let fits = used.iter().take_while(|it| {
+        free -= **it;
+        free >= 0.0
     });
     fits.count()
 }
--- a/crates/bulrushusher_model/src/fleet.rs
+++ b/crates/bulrushusher_model/src/fleet.rs
@@ -1,56 +1,56 @@
-//! Gateways and engines that a load is played on.
+//! The simulated gateways and engines, and the policies of the gateways.
 
 use bulrushusher_forward::{ForecastConfig, RetryAfterConfig, WaitQueueConfig};
 use bulrushusher_time::Millis;
 
-use crate::EngineFigures;
+use crate::EngineSpec;
 
-/// Reports go out eight milliseconds apart at the most, and take some more to be sent to all peers
-/// over a link of 10 Mbit/s and to be read there.
+/// Gateways send reports at most every 8 ms. Sending one to all peers over a link of 10 Mbit/s and
+/// decoding it there takes the remaining time.
 const REPORT_LAG: Millis = Millis(15);
 
-/// How memory is given to runs.
+/// How decode memory is allocated to runs.
 #[derive(Clone, Copy, Debug)]
 pub enum Admission {
-    /// Each run holds its prompt and that many times the tokens that its caller expects.
-    Hold {
-        /// How many times; a large number holds the most.
+    /// Each run reserves its prompt and a multiple of the output tokens that its caller expects.
+    Reserve {
+        /// The multiple; a large number reserves the maximum output.
         times: f64,
     },
-    /// Each run holds its prompt, and a forecast of all gateways' runs decides.
+    /// Each run reserves its prompt, and a forecast over the runs of all gateways decides.
     Forecast(ForecastConfig),
 }
 
-/// Gateways and engines.
+/// Gateways, engines and faults of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet {
-    /// Gateways that callers are spread over.
+    /// Number of gateways, over which callers are distributed.
     pub gateways: usize,
-    /// Prefill engines.
+    /// Number of prefill engines.
     pub prefills: usize,
-    /// Decode engines.
+    /// Number of decode engines.
     pub decodes: usize,
-    /// What engines can do.
-    pub figures: EngineFigures,
-    /// How memory is given to runs.
+    /// Speed and memory of the engines.
+    pub engine: EngineSpec,
+    /// How decode memory is allocated to runs.
     pub admission: Admission,
-    /// How long callers wait.
-    pub waiting: WaitQueueConfig,
-    /// When refused callers come back.
-    pub returns: RetryAfterConfig,
-    /// True when gateways tell each other their runs.
-    pub peers_speak: bool,
-    /// Time until a gateway's report has been taken in by the others.
+    /// Wait queue of each gateway.
+    pub wait_queue: WaitQueueConfig,
+    /// Delay after which refused callers retry.
+    pub retry_after: RetryAfterConfig,
+    /// Whether gateways report their runs to each other.
+    pub peers_report: bool,
+    /// Time until the other gateways have applied a gateway's report.
     pub report_lag: Millis,
-    /// A decode engine that is lost, and when.
-    pub loses: Option<Millis>,
-    /// Share of its runs that one decode engine fails, while it grants memory as always.
-    pub grey: f64,
-    /// How many times as long as the others another decode engine takes.
-    pub slow: f64,
-    /// True when gateways pass over engines that fail their runs.
-    pub heeds_failures: bool,
-    /// True when runs move to another engine before memory runs out.
+    /// Time at which a decode engine crashes, if one does.
+    pub engine_lost_at: Option<Millis>,
+    /// Share of runs that fail at one decode engine, which keeps granting memory.
+    pub failure_share: f64,
+    /// Factor by which the steps of another decode engine take longer.
+    pub slowdown: f64,
+    /// Whether gateways avoid engines whose runs fail.
+    pub avoids_failing: bool,
+    /// Whether runs move to another engine before memory runs out.
     pub runs_move: bool,
 }
 
@@ -60,16 +60,16 @@
             gateways: 5,
             prefills: 3,
             decodes: 9,
-            figures: EngineFigures::default(),
+            engine: EngineSpec::default(),
             admission: Admission::Forecast(ForecastConfig::default()),
-            waiting: WaitQueueConfig::default(),
-            returns: RetryAfterConfig { delay: Millis(4_000), spread: 0.2 },
-            peers_speak: true,
+            wait_queue: WaitQueueConfig::default(),
+            retry_after: RetryAfterConfig { delay: Millis(4_000), spread: 0.2 },
+            peers_report: true,
             report_lag: REPORT_LAG,
-            loses: None,
-            grey: 0.0,
-            slow: 1.0,
-            heeds_failures: true,
+            engine_lost_at: None,
+            failure_share: 0.0,
+            slowdown: 1.0,
+            avoids_failing: true,
             runs_move: false,
         }
     }
--- a/crates/bulrushusher_model/src/limits.rs
+++ b/crates/bulrushusher_model/src/limits.rs
@@ -1,7 +1,8 @@
-//! Gateways that keep to a runner's rate limit together, told of it by answers and by each other.
+//! Simulates gateways that share the rate limit of a runner, which they learn from its responses
+//! and from each other's reports.
 //!
-//! There is always more to send than the limit allows. A runner in need must not get more; one that gets
-//! less than it takes leaves callers waiting for nothing.
+//! Demand always exceeds the limit. Exceeding the limit would overload the runner, and staying
+//! below it would make callers wait although the runner has capacity.
 
 use std::rc::Rc;
 
@@ -18,43 +19,44 @@
 /// How gateways share a limit.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum LimitSharing {
-    /// Each gets the same part and may save up one request.
+    /// Each gateway gets an equal share and may accumulate one request.
     #[display("even parts")]
     Even,
-    /// All take from one bucket, and tell each other what they took.
+    /// All gateways use one shared token bucket and report their use to each other.
     #[display("one bucket, told")]
-    Told,
-    /// A few, chosen by rendezvous hashing, get a part each: what the gateways do.
+    SharedBucket,
+    /// A few gateways, chosen by rendezvous hashing, get a share each. The real gateways do this.
     #[display("few sharers")]
-    Few,
+    FewGateways,
 }
 
 impl LimitSharing {
-    /// All ways.
-    pub const ALL: [LimitSharing; 3] = [LimitSharing::Even, LimitSharing::Told, LimitSharing::Few];
+    /// All ways of sharing.
+    pub const ALL: [LimitSharing; 3] =
+        [LimitSharing::Even, LimitSharing::SharedBucket, LimitSharing::FewGateways];
 }
 
-/// What happens while the limit is kept.
+/// The fault or change during a simulation.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum LimitPattern {
-    /// Nothing.
+    /// No change.
     #[display("steady")]
     Steady,
     /// The runner halves its limit.
     #[display("halved limit")]
     Halved,
-    /// All gateways are killed at once and start again a second later.
+    /// All gateways are killed at the same time and restart a second later.
     #[display("total restart")]
     TotalRestart,
-    /// Half of the gateways do not hear the other half for some seconds.
+    /// A network partition into two halves for some seconds.
     #[display("two halves")]
-    TwoHalves,
-    /// One word in ten between gateways is lost.
+    Partition,
+    /// One in ten reports between gateways is lost.
     #[display("lost words")]
-    LostWords,
-    /// One gateway starts that was not there before.
+    LostReports,
+    /// A new gateway starts.
     #[display("a gateway joins")]
-    Joins,
+    GatewayJoins,
 }
 
 impl LimitPattern {
@@ -63,93 +65,99 @@
         LimitPattern::Steady,
         LimitPattern::Halved,
         LimitPattern::TotalRestart,
-        LimitPattern::TwoHalves,
-        LimitPattern::LostWords,
-        LimitPattern::Joins,
+        LimitPattern::Partition,
+        LimitPattern::LostReports,
+        LimitPattern::GatewayJoins,
     ];
 
-    /// Share of the words between gateways that are lost.
-    fn loss(self) -> f64 {
+    /// Share of lost reports between gateways.
+    fn report_loss(self) -> f64 {
         match self {
-            LimitPattern::LostWords => 0.1,
+            LimitPattern::LostReports => 0.1,
             _ => 0.001,
         }
     }
 }
 
-/// What the runner got.
+/// Requests that the runner received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LimitOutcome {
-    /// The most that it got in four seconds, as a share of what is allowed there.
+    /// Largest number in any 4 s, relative to the allowed number.
     pub worst_span: f64,
-    /// What it got, as a share of its limit.
+    /// Number of requests relative to the limit.
     pub used: f64,
 }
 
-/// Length of a play, in ms.
-const LENGTH: u64 = 30_000;
+/// Duration of a simulation, in ms.
+const DURATION_MS: u64 = 30_000;
 
-/// When trouble begins and ends.
-const TROUBLE: std::ops::Range<u64> = 12_000..20_000;
+/// Period of the fault, in ms.
+const FAULT_MS: std::ops::Range<u64> = 12_000..20_000;
 
-/// Time that a killed gateway is away.
-const AWAY: u64 = 1_000;
+/// Time until a killed gateway is running again, in ms.
+const RESTART_MS: u64 = 1_000;
 
-/// Callers that each gateway has in a second, on the mean; the busiest has three times as many as the others.
+/// Mean rate of callers per gateway. The busiest gateway has three times as many as the others.
 const CALLERS_PER_SECOND: f64 = 8.0;
 
-/// Time from a send to its answer.
-const ANSWER_AFTER: u64 = 40;
+/// Time from a request to its response, in ms.
+const RESPONSE_MS: u64 = 40;
 
-/// Any span of this length is held to the limit, once gateways have had time to hear of it.
-const SPAN: usize = 4_000;
-const SETTLED: usize = 3_000;
+/// Length of the spans in which requests are compared to the limit, in ms.
+const SPAN_MS: usize = 4_000;
+/// Time from the start that is not evaluated, in which gateways learn the limit, in ms.
+const WARM_UP_MS: usize = 3_000;
 
-/// From so long after its first answer on, a gateway's requests count.
-const TOLD_FOR: u64 = 500;
+/// Requests of a gateway count from this time after its first response, in ms.
+const COUNTED_AFTER_MS: u64 = 500;
 
-/// Longest time between two words of a gateway, and the longest time that one is on its way.
-const SPEAKS_EVERY: u64 = 700;
-const LONGEST_WAY: u64 = 15;
+/// Maximum interval between two reports of a gateway, in ms.
+const REPORT_INTERVAL_MS: u64 = 700;
+/// Maximum delay of a report, in ms.
+const MAX_REPORT_DELAY_MS: u64 = 15;
 
-/// Units of a request where limits are kept as quotas are.
-const REQUEST: u64 = 1_000;
+/// Quota units per request, for the ways of sharing that use a quota.
+const REQUEST_UNITS: u64 = 1_000;
 
-/// What a limit allows in a span.
-fn allowed(per_second: f64) -> f64 {
-    1.5 * per_second * (SPAN as f64 / 1_000.0) + 5.0
+/// Number of requests that a limit allows in a span.
+fn allowed_in_span(per_second: f64) -> f64 {
+    1.5 * per_second * (SPAN_MS as f64 / 1_000.0) + 5.0
 }
 
-/// How one gateway keeps to the limit.
-enum Keeper {
-    Few(Box<BackPressure>),
+/// The rate limiter of a gateway.
+enum Limiter {
+    BackPressure(Box<BackPressure>),
     Bucket(Box<QuotaLimiter>),
 }
 
-/// What one gateway tells the others.
+/// A report from one gateway to the others.
 #[derive(Clone)]
-enum Word {
+enum Report {
     Limits(Rc<Vec<LimitReport>>),
-    Spends(Rc<UsageReport>),
+    Usage(Rc<UsageReport>),
 }
 
 struct Gateway {
-    keeper: Keeper,
-    life: u64,
-    back_at: u64,
-    spoke_at: u64,
-    is_due: bool,
-    told_at: Option<u64>,
+    limiter: Limiter,
+    incarnation: u64,
+    /// The gateway does not run before this time.
+    running_from: u64,
+    reported_at: u64,
+    /// Whether a report is due before the interval ends.
+    is_report_due: bool,
+    /// Time of the first response, which contains the limit.
+    limit_known_at: Option<u64>,
 }
 
-struct Sent {
+/// A report in flight.
+struct InFlightReport {
     from: usize,
     to: usize,
-    life: u64,
-    word: Word,
+    incarnation: u64,
+    report: Report,
 }
 
-struct Play {
+struct LimitSimulation {
     limit: f64,
     sharing: LimitSharing,
     pattern: LimitPattern,
@@ -157,121 +165,132 @@
     runner: Runner,
     account: ClientAccountName,
     gateways: Vec<Gateway>,
-    under_way: Vec<Vec<Sent>>,
-    /// Gateways whose requests are answered, by the ms.
-    answers: Vec<Vec<usize>>,
-    /// What the runner got, and what of it counts.
-    got: Vec<u32>,
+    /// Reports in flight, by the ms of their arrival.
+    in_flight: Vec<Vec<InFlightReport>>,
+    /// Gateways that receive a response, by ms.
+    responses: Vec<Vec<usize>>,
+    /// Requests that the runner received, by ms.
+    received: Vec<u32>,
+    /// Those that are compared to the limit, by ms.
     counted: Vec<u32>,
 }
 
-/// Plays a pattern with `gateways` gateways and a runner that names `limit` requests a second.
+/// Simulates a pattern with `gateways` gateways and a runner with a limit of `limit` requests per
+/// second.
 ///
 /// ```
-/// use bulrushusher_model::{LimitPattern, LimitSharing, play_limit};
-/// let outcome = play_limit(5, 2.0, LimitSharing::Few, LimitPattern::Steady, 1);
+/// use bulrushusher_model::{LimitPattern, LimitSharing, simulate_limit};
+/// let outcome = simulate_limit(5, 2.0, LimitSharing::FewGateways, LimitPattern::Steady, 1);
 /// assert!(outcome.worst_span <= 1.0 && outcome.used > 0.8, "{outcome:?}");
 /// ```
-pub fn play_limit(
+pub fn simulate_limit(
     gateways: usize,
     limit: f64,
     sharing: LimitSharing,
     pattern: LimitPattern,
     seed: u64,
 ) -> LimitOutcome {
-    let mut play = Play::new(gateways, limit, sharing, pattern, seed);
-    for now in 0..LENGTH {
-        play.step(now);
+    let mut simulation = LimitSimulation::new(gateways, limit, sharing, pattern, seed);
+    for now in 0..DURATION_MS {
+        simulation.step(now);
     }
-    play.finish()
+    simulation.finish()
 }
 
-impl Play {
+impl LimitSimulation {
     fn new(
         count: usize,
         limit: f64,
         sharing: LimitSharing,
         pattern: LimitPattern,
         seed: u64,
-    ) -> Play {
-        let mut play = Play {
+    ) -> LimitSimulation {
+        let mut simulation = LimitSimulation {
             limit,
             sharing,
             pattern,
             rng: ChaCha8Rng::seed_from_u64(seed),
             runner: runner(),
-            account: "i-1".try_into().expect("it is a name"),
+            account: "i-1".try_into().expect("the name is valid"),
             gateways: Vec::new(),
-            under_way: (0..LENGTH + LONGEST_WAY + 1).map(|_| Vec::new()).collect(),
-            answers: (0..LENGTH + ANSWER_AFTER + 1).map(|_| Vec::new()).collect(),
-            got: Vec::new(),
+            in_flight: (0..DURATION_MS + MAX_REPORT_DELAY_MS + 1).map(|_| Vec::new()).collect(),
+            responses: (0..DURATION_MS + RESPONSE_MS + 1).map(|_| Vec::new()).collect(),
+            received: Vec::new(),
             counted: Vec::new(),
         };
-        play.gateways = (0..count).map(|nth| play.gateway(nth, 0)).collect();
-        if pattern == LimitPattern::Joins {
-            let joiner = play.gateways.len() - 1;
-            play.gateways[joiner].back_at = TROUBLE.start;
+        simulation.gateways = (0..count).map(|nth| simulation.gateway(nth, 0)).collect();
+        if pattern == LimitPattern::GatewayJoins {
+            let joiner = simulation.gateways.len() - 1;
+            simulation.gateways[joiner].running_from = FAULT_MS.start;
         }
-        play
+        simulation
     }
 
-    fn gateway(&self, nth: usize, back_at: u64) -> Gateway {
-        let now = Millis(back_at);
+    fn gateway(&self, nth: usize, running_from: u64) -> Gateway {
+        let now = Millis(running_from);
         let bucket = |sharing| {
-            // What a span allows beyond the limit is what gateways may not know of each other.
-            let slack = 5.0 * REQUEST as f64;
-            let window = Millis(SPAN as u64);
+            // The allowance of a span above the limit covers use that gateways have not yet
+            // reported to each other.
+            let slack = 5.0 * REQUEST_UNITS as f64;
+            let window = Millis(SPAN_MS as u64);
             let cfg =
                 QuotaConfig { sharing, window, overage: 0.5, slack, ..QuotaConfig::default() };
-            let mut book = QuotaLimiter::new(cfg, now);
-            book.set_quotas([(&self.account, Some(self.quota()))], now);
-            Keeper::Bucket(Box::new(book))
+            let mut limiter = QuotaLimiter::new(cfg, now);
+            limiter.set_quotas([(&self.account, Some(self.quota()))], now);
+            Limiter::Bucket(Box::new(limiter))
         };
-        let keeper = match self.sharing {
-            LimitSharing::Few => {
+        let limiter = match self.sharing {
+            LimitSharing::FewGateways => {
                 let name = format!("gateway-{nth}").into();
                 let cfg = BackPressureConfig::default();
-                Keeper::Few(Box::new(BackPressure::new(cfg, name)))
+                Limiter::BackPressure(Box::new(BackPressure::new(cfg, name)))
             }
-            LimitSharing::Told => bucket(Sharing::Told),
+            LimitSharing::SharedBucket => bucket(Sharing::Told),
             LimitSharing::Even => bucket(Sharing::Even),
         };
-        Gateway { keeper, life: back_at, back_at, spoke_at: back_at, is_due: true, told_at: None }
+        Gateway {
+            limiter,
+            incarnation: running_from,
+            running_from,
+            reported_at: running_from,
+            is_report_due: true,
+            limit_known_at: None,
+        }
     }
 
     fn quota(&self) -> Quota {
-        Quota { per_second: self.limit * REQUEST as f64, burst: 0.0 }
+        Quota { per_second: self.limit * REQUEST_UNITS as f64, burst: 0.0 }
     }
 
     fn step(&mut self, now: u64) {
-        self.trouble(now);
-        self.hear(now);
-        self.take_answers(now);
-        self.got.push(0);
+        self.apply_fault(now);
+        self.deliver_reports(now);
+        self.deliver_responses(now);
+        self.received.push(0);
         self.counted.push(0);
         for nth in 0..self.gateways.len() {
-            if self.gateways[nth].back_at > now {
+            if self.gateways[nth].running_from > now {
                 continue;
             }
             let times = if nth == 0 { 3.0 } else { 1.0 };
             if self.rng.random::<f64>() < CALLERS_PER_SECOND * times / 1_000.0 {
-                self.call(nth, now);
+                self.request(nth, now);
             }
-            self.speak(nth, now);
+            self.send_report(nth, now);
         }
     }
 
-    fn trouble(&mut self, now: u64) {
-        if now != TROUBLE.start {
+    fn apply_fault(&mut self, now: u64) {
+        if now != FAULT_MS.start {
             return;
         }
         match self.pattern {
             LimitPattern::Halved => self.limit /= 2.0,
             LimitPattern::TotalRestart => {
                 let count = self.gateways.len();
-                self.gateways = (0..count).map(|nth| self.gateway(nth, now + AWAY)).collect();
+                self.gateways = (0..count).map(|nth| self.gateway(nth, now + RESTART_MS)).collect();
                 for gateway in &mut self.gateways {
-                    if let Keeper::Few(pressure) = &mut gateway.keeper {
+                    if let Limiter::BackPressure(pressure) = &mut gateway.limiter {
                         pressure.set_announced(count - 1);
                     }
                 }
@@ -280,97 +299,105 @@
         }
     }
 
-    /// A caller whose request would go to the runner if it may.
-    fn call(&mut self, nth: usize, now: u64) {
+    /// A request of a caller, which is sent to the runner if the gateway's limiter admits it.
+    fn request(&mut self, nth: usize, now: u64) {
         let draw = self.rng.random::<f64>();
         let at = Millis(now);
         let gateway = &mut self.gateways[nth];
-        let goes = match &mut gateway.keeper {
-            Keeper::Few(pressure) => {
+        let is_admitted = match &mut gateway.limiter {
+            Limiter::BackPressure(pressure) => {
                 pressure.refresh(at);
                 pressure.is_open(&self.runner, draw, at)
                     && pressure.acquire(&self.runner, 1, at).is_ok()
             }
-            // Nothing is known of the limit before the first answer.
-            Keeper::Bucket(_) if gateway.told_at.is_none() => true,
-            Keeper::Bucket(book) => book.admit(&self.account, REQUEST, at).is_ok(),
+            // The limit is unknown before the first response.
+            Limiter::Bucket(_) if gateway.limit_known_at.is_none() => true,
+            Limiter::Bucket(limiter) => limiter.admit(&self.account, REQUEST_UNITS, at).is_ok(),
         };
-        if !goes {
+        if !is_admitted {
             return;
         }
-        if let Keeper::Bucket(book) = &gateway.keeper {
-            gateway.is_due |= book.is_report_due(&self.account);
+        if let Limiter::Bucket(limiter) = &gateway.limiter {
+            gateway.is_report_due |= limiter.is_report_due(&self.account);
         }
-        let counts = gateway.told_at.is_some_and(|told_at| now >= told_at + TOLD_FOR);
-        self.got[now as usize] += 1;
+        let counts =
+            gateway.limit_known_at.is_some_and(|known_at| now >= known_at + COUNTED_AFTER_MS);
+        self.received[now as usize] += 1;
         self.counted[now as usize] += u32::from(counts);
-        self.answers[(now + ANSWER_AFTER) as usize].push(nth);
+        self.responses[(now + RESPONSE_MS) as usize].push(nth);
     }
 
-    fn take_answers(&mut self, now: u64) {
-        let limit = RateLimit::try_from(self.limit.to_string().as_str()).expect("it is a limit");
+    fn deliver_responses(&mut self, now: u64) {
+        let limit =
+            RateLimit::try_from(self.limit.to_string().as_str()).expect("the limit is valid");
         let signals = RunnerSignals { rate_limit: Some(limit), ..RunnerSignals::default() };
         let quota = self.quota();
-        for nth in std::mem::take(&mut self.answers[now as usize]) {
+        for nth in std::mem::take(&mut self.responses[now as usize]) {
             let gateway = &mut self.gateways[nth];
-            if gateway.back_at > now {
+            if gateway.running_from > now {
                 continue;
             }
-            gateway.told_at.get_or_insert(now);
-            match &mut gateway.keeper {
-                Keeper::Few(pressure) => {
+            gateway.limit_known_at.get_or_insert(now);
+            match &mut gateway.limiter {
+                Limiter::BackPressure(pressure) => {
                     let before = pressure.record_signals(&self.runner, signals, Millis(now));
-                    gateway.is_due |= before != signals;
+                    gateway.is_report_due |= before != signals;
                 }
-                Keeper::Bucket(book) => {
-                    book.set_quotas([(&self.account, Some(quota))], Millis(now));
+                Limiter::Bucket(limiter) => {
+                    limiter.set_quotas([(&self.account, Some(quota))], Millis(now));
                 }
             }
         }
     }
 
-    fn speak(&mut self, nth: usize, now: u64) {
+    fn send_report(&mut self, nth: usize, now: u64) {
         let gateway = &mut self.gateways[nth];
-        if !gateway.is_due && now - gateway.spoke_at < SPEAKS_EVERY {
+        if !gateway.is_report_due && now - gateway.reported_at < REPORT_INTERVAL_MS {
             return;
         }
-        (gateway.spoke_at, gateway.is_due) = (now, false);
-        let word = match &mut gateway.keeper {
-            Keeper::Few(pressure) => Word::Limits(Rc::new(pressure.reports(Millis(now)))),
-            Keeper::Bucket(book) => Word::Spends(Rc::new(book.next_report(true, Millis(now)))),
+        (gateway.reported_at, gateway.is_report_due) = (now, false);
+        let report = match &mut gateway.limiter {
+            Limiter::BackPressure(pressure) => {
+                Report::Limits(Rc::new(pressure.reports(Millis(now))))
+            }
+            Limiter::Bucket(limiter) => {
+                Report::Usage(Rc::new(limiter.next_report(true, Millis(now))))
+            }
         };
-        let life = gateway.life;
+        let incarnation = gateway.incarnation;
         for to in 0..self.gateways.len() {
-            let is_lost = self.rng.random::<f64>() < self.pattern.loss();
+            let is_lost = self.rng.random::<f64>() < self.pattern.report_loss();
             if to != nth && !is_lost && self.reaches(nth, to, now) {
-                let way = self.rng.random_range(1..=LONGEST_WAY);
-                let sent = Sent { from: nth, to, life, word: word.clone() };
-                self.under_way[(now + way) as usize].push(sent);
+                let delay = self.rng.random_range(1..=MAX_REPORT_DELAY_MS);
+                let sent = InFlightReport { from: nth, to, incarnation, report: report.clone() };
+                self.in_flight[(now + delay) as usize].push(sent);
             }
         }
     }
 
-    /// True when a word of one gateway reaches the other.
+    /// Whether reports of one gateway reach the other.
     fn reaches(&self, from: usize, to: usize, now: u64) -> bool {
         let half = self.gateways.len() / 2;
-        let is_cut = self.pattern == LimitPattern::TwoHalves && TROUBLE.contains(&now);
-        !is_cut || (from < half) == (to < half)
+        let is_partitioned = self.pattern == LimitPattern::Partition && FAULT_MS.contains(&now);
+        !is_partitioned || (from < half) == (to < half)
     }
 
-    fn hear(&mut self, now: u64) {
-        for Sent { from, to, life, word } in std::mem::take(&mut self.under_way[now as usize]) {
+    fn deliver_reports(&mut self, now: u64) {
+        for InFlightReport { from, to, incarnation, report } in
+            std::mem::take(&mut self.in_flight[now as usize])
+        {
             let gateway = &mut self.gateways[to];
-            if gateway.back_at > now {
+            if gateway.running_from > now {
                 continue;
             }
             let name = format!("gateway-{from}");
-            match (&mut gateway.keeper, word) {
-                (Keeper::Few(pressure), Word::Limits(words)) => {
+            match (&mut gateway.limiter, report) {
+                (Limiter::BackPressure(pressure), Report::Limits(reports)) => {
                     pressure.record_gateway(&name, Millis(now));
-                    pressure.merge_reports(&words, Millis(now));
+                    pressure.merge_reports(&reports, Millis(now));
                 }
-                (Keeper::Bucket(book), Word::Spends(spends)) => {
-                    book.merge_report(&name, life, &spends, true, Millis(now));
+                (Limiter::Bucket(limiter), Report::Usage(usage)) => {
+                    limiter.merge_report(&name, incarnation, &usage, true, Millis(now));
                 }
                 _ => {}
             }
@@ -378,36 +405,37 @@
     }
 
     fn finish(self) -> LimitOutcome {
-        let at = |now: usize| match (self.pattern, now as u64 >= TROUBLE.start) {
+        let limit_at = |now: usize| match (self.pattern, now as u64 >= FAULT_MS.start) {
             (LimitPattern::Halved, false) => self.limit * 2.0,
             _ => self.limit,
         };
         let mut outcome = LimitOutcome::default();
         let mut sum = 0;
-        for now in SETTLED..self.counted.len() {
+        for now in WARM_UP_MS..self.counted.len() {
             sum += self.counted[now];
-            if now >= SETTLED + SPAN {
-                sum -= self.counted[now - SPAN];
+            if now >= WARM_UP_MS + SPAN_MS {
+                sum -= self.counted[now - SPAN_MS];
             }
-            // A lower limit binds the spans that begin after it.
-            let allowed = allowed(at(now.saturating_sub(SPAN)));
+            // A lowered limit applies to the spans that start after the change.
+            let allowed = allowed_in_span(limit_at(now.saturating_sub(SPAN_MS)));
             outcome.worst_span = outcome.worst_span.max(f64::from(sum) / allowed);
         }
-        let got: u32 = self.got[SETTLED..].iter().sum();
+        let received: u32 = self.received[WARM_UP_MS..].iter().sum();
         let callers = CALLERS_PER_SECOND * (self.gateways.len() + 2) as f64;
-        let due: f64 = (SETTLED..self.got.len()).map(|now| at(now).min(callers) / 1_000.0).sum();
-        outcome.used = f64::from(got) / due.max(1.0);
+        let expected: f64 =
+            (WARM_UP_MS..self.received.len()).map(|now| limit_at(now).min(callers) / 1_000.0).sum();
+        outcome.used = f64::from(received) / expected.max(1.0);
         outcome
     }
 }
 
 fn runner() -> Runner {
     Runner {
-        id: "i-1".try_into().expect("it is an identity"),
+        id: "i-1".try_into().expect("the id is valid"),
         born: None,
-        service: "board-app".try_into().expect("it is a name"),
+        service: "board-app".try_into().expect("the name is valid"),
         address: ([127, 0, 0, 1], 80).into(),
-        data_centre: "dc-1".try_into().expect("it is a name"),
+        data_centre: "dc-1".try_into().expect("the name is valid"),
         slots: 6,
         stage: None,
         leaving: false,
--- a/crates/bulrushusher_model/src/memory.rs
+++ b/crates/bulrushusher_model/src/memory.rs
@@ -1,4 +1,4 @@
-//! Memory for a run: which engine a gateway asks, and what the engine says.
+//! Allocation of decode memory: the choice of the gateway and the admission check of the engine.
 
 use std::collections::BTreeSet;
 
@@ -10,44 +10,50 @@
 use bulrushusher_world::RunnerId;
 use rand::RngExt;
 
-use crate::engines::Reading;
+use crate::engines::QueuedPrompt;
 use crate::fleet::Admission;
 use crate::load::Arrival;
-use crate::play::{Caller, Gateway, Played, State};
+use crate::simulation::{Caller, CallerState, Gateway, Simulation};
 
-impl Played<'_> {
-    /// The decode engine that the run may go to, if its own word agrees.
-    pub(crate) fn find_memory(&mut self, n: usize, others: usize, now: Millis) -> Option<usize> {
+impl Simulation<'_> {
+    /// The decode engine that the gateway prefers among those that admit the run.
+    pub(crate) fn find_memory(
+        &mut self,
+        n: usize,
+        peers_waiting: usize,
+        now: Millis,
+    ) -> Option<usize> {
         let Caller { arrival, gateway, .. } = self.callers[n];
         let gateway = &self.gateways[gateway];
-        let failing = self.failing(gateway, now);
-        let forecast = self.forecast_of(gateway);
-        let run = forecast.need(&[shape(&arrival)]);
+        let failing = self.failing_runners(gateway, now);
+        let forecast = self.memory_forecast(gateway);
+        let run = forecast.need(&[run_shape(&arrival)]);
         let peak = |runner: &Runner| {
-            let there = gateway.runs.need_at(&runner.id, &forecast, now);
+            let current = gateway.runs.need_at(&runner.id, &forecast, now);
             match self.fleet.admission {
-                Admission::Hold { .. } => Some(there.runs as f64),
-                Admission::Forecast(_) => forecast.peak_if_it_fits(&there, &run),
+                Admission::Reserve { .. } => Some(current.runs as f64),
+                Admission::Forecast(_) => forecast.peak_if_it_fits(&current, &run),
             }
         };
         let draw = self.rng.random();
-        let ranked = rank_for_decode(self.candidate(&failing, now), &[], draw, peak);
-        if !should_request_memory(self.rng.random(), others, ranked.len()) {
+        let ranked = rank_for_decode(self.selection_context(&failing, now), &[], draw, peak);
+        if !should_request_memory(self.rng.random(), peers_waiting, ranked.len()) {
             return None;
         }
-        let places = ranked.iter().filter_map(|r| self.ids.iter().position(|id| *id == r.id));
-        let places: Vec<usize> = places.collect();
-        places.into_iter().find(|decode| self.has_room(*decode, &arrival))
+        let engines =
+            ranked.iter().filter_map(|r| self.runner_ids.iter().position(|id| *id == r.id));
+        let engines: Vec<usize> = engines.collect();
+        engines.into_iter().find(|decode| self.admits(*decode, &arrival))
     }
 
-    /// The engines that a choice looks at.
-    pub(crate) fn candidate<'b>(
+    /// The runners and loads among which a gateway selects.
+    pub(crate) fn selection_context<'b>(
         &'b self,
         failing: &'b BTreeSet<RunnerId>,
         now: Millis,
     ) -> SelectionContext<'b> {
         SelectionContext {
-            members: &self.members,
+            members: &self.runners,
             loads: &self.loads,
             service: &self.service,
             runs: None,
@@ -57,67 +63,70 @@
         }
     }
 
-    /// What a gateway's forecasts rest on.
-    pub(crate) fn forecast_of(&self, gateway: &Gateway) -> MemoryForecast {
+    /// The memory forecast of a gateway, from its observed lengths and speed.
+    pub(crate) fn memory_forecast(&self, gateway: &Gateway) -> MemoryForecast {
         let cfg = match self.fleet.admission {
-            Admission::Hold { .. } => ForecastConfig::default(),
+            Admission::Reserve { .. } => ForecastConfig::default(),
             Admission::Forecast(cfg) => cfg,
         };
         MemoryForecast {
-            lengths: gateway.pace.lengths(),
-            tokens_per_ms: gateway.pace.tokens_per_ms(),
-            memory: self.fleet.figures.memory_tokens,
+            lengths: gateway.timing.lengths(),
+            tokens_per_ms: gateway.timing.tokens_per_ms(),
+            memory: self.fleet.engine.memory_tokens,
             cfg,
         }
     }
 
-    /// Engines that a gateway passes over.
-    pub(crate) fn failing(&self, gateway: &Gateway, now: Millis) -> BTreeSet<RunnerId> {
-        if !self.fleet.heeds_failures {
+    /// Engines that a gateway avoids because runs fail there.
+    pub(crate) fn failing_runners(&self, gateway: &Gateway, now: Millis) -> BTreeSet<RunnerId> {
+        if !self.fleet.avoids_failing {
             return BTreeSet::new();
         }
         let at_peers = gateway.runs.failures_at_peers(now);
         let fails = |id: &&RunnerId| gateway.health.is_failing(id, at_peers.get(id), now);
-        self.ids.iter().filter(fails).cloned().collect()
+        self.runner_ids.iter().filter(fails).cloned().collect()
     }
 
-    /// The engine's own word: what is used or held, whichever is more, and the new hold fit.
-    fn has_room(&self, decode: usize, arrival: &Arrival) -> bool {
+    /// Whether the engine admits the run: its reservations, or their actual use where that is
+    /// larger, and the new reservation must fit into its memory.
+    fn admits(&self, decode: usize, arrival: &Arrival) -> bool {
         let engine = &self.decodes[decode];
-        let taken: f64 = self.held[decode]
+        let reserved: f64 = self.reservations[decode]
             .iter()
-            .map(|(of, tokens)| {
-                let run = engine.runs.iter().find(|run| run.caller == *of);
-                run.map_or(*tokens, |run| tokens.max(run.prompt + run.made))
+            .map(|(owner, tokens)| {
+                let run = engine.runs.iter().find(|run| run.caller == *owner);
+                run.map_or(*tokens, |run| tokens.max(run.prompt + run.generated))
             })
             .sum();
-        taken + self.tokens_held(arrival) <= self.fleet.figures.memory_tokens
+        reserved + self.tokens_reserved(arrival) <= self.fleet.engine.memory_tokens
     }
 
-    fn tokens_held(&self, arrival: &Arrival) -> f64 {
+    fn tokens_reserved(&self, arrival: &Arrival) -> f64 {
         match self.fleet.admission {
-            Admission::Hold { times } => {
-                arrival.prompt + (arrival.expected * times).min(arrival.most)
+            Admission::Reserve { times } => {
+                arrival.prompt + (arrival.expected * times).min(arrival.max_output)
             }
             Admission::Forecast(_) => arrival.prompt,
         }
     }
 
-    pub(crate) fn hold(&mut self, n: usize, decode: usize) {
+    /// Reserves memory at a decode engine and enqueues the prompt at the shortest prefill queue.
+    pub(crate) fn reserve(&mut self, n: usize, decode: usize) {
         let Caller { arrival, gateway, .. } = self.callers[n];
-        let held = self.tokens_held(&arrival);
-        self.held[decode].push((n, held));
-        let note = RunReport::new(self.ids[decode].clone(), shape(&arrival));
-        let run = self.gateways[gateway].runs.add(note);
-        self.callers[n].state = State::Read { decode, run };
-        let shortest = self.prefills.iter_mut().min_by(|a, b| a.waiting().total_cmp(&b.waiting()));
+        let reserved = self.tokens_reserved(&arrival);
+        self.reservations[decode].push((n, reserved));
+        let report = RunReport::new(self.runner_ids[decode].clone(), run_shape(&arrival));
+        let run = self.gateways[gateway].runs.add(report);
+        self.callers[n].state = CallerState::Prefilling { decode, run };
+        let shortest =
+            self.prefills.iter_mut().min_by(|a, b| a.queued_tokens().total_cmp(&b.queued_tokens()));
         if let Some(prefill) = shortest {
-            prefill.line.push(Reading { caller: n, tokens_left: arrival.prompt });
+            prefill.queue.push(QueuedPrompt { caller: n, remaining_tokens: arrival.prompt });
         }
     }
 }
 
-fn shape(arrival: &Arrival) -> RunShape {
-    let Arrival { prompt, expected, most, .. } = *arrival;
-    RunShape { prompt, generated: 0.0, expected, max_output: most }
+fn run_shape(arrival: &Arrival) -> RunShape {
+    let Arrival { prompt, expected, max_output, .. } = *arrival;
+    RunShape { prompt, generated: 0.0, expected, max_output }
 }
--- a/crates/bulrushusher_model/src/outcome.rs
+++ b/crates/bulrushusher_model/src/outcome.rs
@@ -1,74 +1,74 @@
-//! What callers saw.
+//! Counts of what callers saw.
 
 use std::ops::AddAssign;
 
-/// Data centres that gateways stand in, in turn.
+/// Number of data centres; gateways are assigned to them round-robin.
 pub const DATA_CENTRES: usize = 4;
 
-/// Counts of one or more plays.
+/// Counts over one or more simulations.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// Callers.
+    /// All callers.
     pub callers: usize,
-    /// First event within the target and no pause beyond its target.
+    /// Callers whose first event and all gaps between events were within their targets.
     pub on_time: usize,
-    /// Whole, but late.
+    /// Callers with a complete answer that missed a target.
     pub late: usize,
-    /// Refused, and never served.
+    /// Callers that were refused and never served.
     pub refused: usize,
-    /// Of these, refused when they came back.
+    /// Refused callers whose retry was refused, too.
     pub refused_twice: usize,
-    /// Failed by an engine.
+    /// Callers whose run failed at an engine.
     pub failed: usize,
-    /// Callers of each data centre.
-    pub callers_by_centre: [usize; DATA_CENTRES],
-    /// Of these, served on time.
-    pub on_time_by_centre: [usize; DATA_CENTRES],
-    /// Left before they were served.
-    pub left: usize,
-    /// Runs that were preempted.
+    /// Callers per data centre.
+    pub callers_by_data_centre: [usize; DATA_CENTRES],
+    /// Callers served on time per data centre.
+    pub on_time_by_data_centre: [usize; DATA_CENTRES],
+    /// Callers that disconnected before their run started.
+    pub disconnected: usize,
+    /// Preemptions of runs.
     pub preempted: usize,
-    /// Runs that moved to another engine.
+    /// Moves of runs to another engine.
     pub moved: usize,
-    /// Prompt tokens read that served nobody, or were read again.
+    /// Tokens of discarded prefill, and of prompts and output that a preemption discarded.
     pub wasted_tokens: f64,
-    /// Callers with the largest tenth of prompts and answers.
+    /// Callers with large prompts and answers, about a tenth of all.
     pub large: usize,
-    /// Of these, served.
+    /// Large callers that were served.
     pub large_served: usize,
-    /// Sum over steps of the share of decode memory in use, and the number of steps.
-    pub memory_share: f64,
-    /// Steps counted in it.
+    /// Sum of the share of decode memory in use, over the steps in which callers were queued.
+    pub memory_share_sum: f64,
+    /// Number of these steps.
     pub steps: usize,
 }
 
 impl Outcome {
-    /// Share of the callers that were served on time.
+    /// Share of callers served on time.
     pub fn goodput(&self) -> f64 {
         self.on_time as f64 / self.callers.max(1) as f64
     }
 
-    /// Share of the callers that were served.
+    /// Share of callers served.
     pub fn served(&self) -> f64 {
         (self.on_time + self.late) as f64 / self.callers.max(1) as f64
     }
 
-    /// Lowest share served on time in a data centre.
-    pub fn lowest_goodput_of_a_centre(&self) -> f64 {
-        let centres = self.on_time_by_centre.iter().zip(self.callers_by_centre);
+    /// Lowest goodput of a data centre.
+    pub fn min_goodput_by_data_centre(&self) -> f64 {
+        let centres = self.on_time_by_data_centre.iter().zip(self.callers_by_data_centre);
         let shares =
             centres.filter(|(_, all)| *all > 0).map(|(on_time, all)| *on_time as f64 / all as f64);
         shares.fold(1.0, f64::min)
     }
 
-    /// Share of the largest callers that were served.
+    /// Share of large callers that were served.
     pub fn large_served_share(&self) -> f64 {
         self.large_served as f64 / self.large.max(1) as f64
     }
 
-    /// Mean share of decode memory in use.
+    /// Mean share of decode memory in use while callers were queued.
     pub fn memory_use(&self) -> f64 {
-        self.memory_share / self.steps.max(1) as f64
+        self.memory_share_sum / self.steps.max(1) as f64
     }
 }
 
@@ -81,16 +81,16 @@
         self.refused_twice += other.refused_twice;
         self.failed += other.failed;
         for centre in 0..DATA_CENTRES {
-            self.callers_by_centre[centre] += other.callers_by_centre[centre];
-            self.on_time_by_centre[centre] += other.on_time_by_centre[centre];
+            self.callers_by_data_centre[centre] += other.callers_by_data_centre[centre];
+            self.on_time_by_data_centre[centre] += other.on_time_by_data_centre[centre];
         }
-        self.left += other.left;
+        self.disconnected += other.disconnected;
         self.preempted += other.preempted;
         self.moved += other.moved;
         self.wasted_tokens += other.wasted_tokens;
         self.large += other.large;
         self.large_served += other.large_served;
-        self.memory_share += other.memory_share;
+        self.memory_share_sum += other.memory_share_sum;
         self.steps += other.steps;
     }
 }
--- a/crates/bulrushusher_model/src/patterns.rs
+++ b/crates/bulrushusher_model/src/patterns.rs
@@ -1,45 +1,47 @@
-//! The patterns of load that the router is judged by, and the grounds for their figures.
+//! The load patterns and faults that the router is evaluated with, and the reasons for their
+//! values.
 
 use bulrushusher_time::Millis;
 use derive_more::Display;
 
 use crate::{Burst, Fleet, Load};
 
-/// A pattern of load.
+/// A load pattern, with a fault where its description says so.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Pattern {
-    /// A steady wave at the usual rate: half of what the engines can bear.
+    /// A sine wave around the usual rate, at half of the engines' capacity.
     #[display("steady wave")]
     SteadyWave,
-    /// A burst of everybody for five seconds, and on it one of a class: a month-end closing, when
-    /// demand is four times the usual one for some seconds.
+    /// A burst of all callers for five seconds, overlapped by a burst of one class: at a month-end
+    /// closing, demand is four times the usual one for some seconds.
     #[display("double burst")]
     DoubleBurst,
-    /// Four times the usual demand all the time: what memory is worth when there is never enough.
+    /// Four times the usual rate throughout, so that decode memory is always scarce.
     #[display("overload")]
     Overload,
-    /// Prompts twice as long: year-end briefs.
+    /// A double burst with prompts twice as long, as in year-end briefs.
     #[display("long prompts")]
     LongPrompts,
-    /// Answers twice as long, with prompts half as long.
+    /// A double burst with answers twice as long and prompts half as long.
     #[display("long answers")]
     LongAnswers,
-    /// A decode engine lost in the middle of a double burst.
+    /// A decode engine crashes in the middle of a double burst.
     #[display("engine lost")]
     EngineLost,
-    /// A decode engine that fails half of its runs, with its health check good, at the usual rate
-    /// and a half.
+    /// A decode engine fails half of its runs while its health check passes, at 1.5 times the usual
+    /// rate.
     #[display("grey engine")]
     GreyEngine,
-    /// A decode engine that takes three times as long as the others, in a double burst.
+    /// The steps of a decode engine take three times as long, in a double burst.
     #[display("slow engine")]
     SlowEngine,
-    /// A third of the refused callers come back at once in a double burst, whatever they are told.
+    /// A third of the callers retry immediately after a refusal and ignore `Retry-After`, in a
+    /// double burst.
     #[display("retry abuse")]
     RetryAbuse,
-    /// A fifth of the callers leave within half of the target in a double burst.
+    /// A fifth of the callers disconnect after half of the target, in a double burst.
     #[display("leaving callers")]
-    LeavingCallers,
+    DisconnectingCallers,
 }
 
 impl Pattern {
@@ -54,10 +56,10 @@
         Pattern::GreyEngine,
         Pattern::SlowEngine,
         Pattern::RetryAbuse,
-        Pattern::LeavingCallers,
+        Pattern::DisconnectingCallers,
     ];
 
-    /// The callers of the pattern.
+    /// The load of the pattern.
     pub fn load(self) -> Load {
         let usual = Load::default();
         let bursts = double_burst();
@@ -73,22 +75,22 @@
                 Load { prompt: usual.prompt * 0.5, output: usual.output * 2.0, bursts, ..usual }
             }
             Pattern::RetryAbuse => Load { impatient: 0.33, bursts, ..usual },
-            Pattern::LeavingCallers => Load { leaving: 0.2, bursts, ..usual },
+            Pattern::DisconnectingCallers => Load { disconnecting: 0.2, bursts, ..usual },
         }
     }
 
-    /// The fleet with what the pattern does to it.
+    /// `fleet` with the fault of the pattern.
     pub fn fleet(self, fleet: Fleet) -> Fleet {
         match self {
-            Pattern::EngineLost => Fleet { loses: Some(Millis(18_000)), ..fleet },
-            Pattern::GreyEngine => Fleet { grey: 0.5, ..fleet },
-            Pattern::SlowEngine => Fleet { slow: 3.0, ..fleet },
+            Pattern::EngineLost => Fleet { engine_lost_at: Some(Millis(18_000)), ..fleet },
+            Pattern::GreyEngine => Fleet { failure_share: 0.5, ..fleet },
+            Pattern::SlowEngine => Fleet { slowdown: 3.0, ..fleet },
             _ => fleet,
         }
     }
 }
 
-/// Three bursts of everybody, the second with one of a class on it.
+/// Three bursts of all callers; a burst of one class overlaps the second.
 fn double_burst() -> Vec<Burst> {
     let burst = |at, length, times| Burst { at: Millis(at), length: Millis(length), times };
     vec![
--- a/crates/bulrushusher_model/src/plot.rs
+++ b/crates/bulrushusher_model/src/plot.rs
@@ -1,28 +1,29 @@
-//! A plot of the table: for each pattern a bar for each way to give memory.
+//! Plots a column of the table, with a bar per pattern and admission policy.
 
 use std::error::Error;
 use std::path::Path;
 
 use plotters::prelude::*;
 
-/// One bar.
+/// A bar of the plot.
 #[derive(Clone, Debug)]
 pub struct Bar {
-    /// The pattern of load.
+    /// Name of the load pattern.
     pub pattern: String,
-    /// How memory was given.
+    /// Name of the admission policy.
     pub policy: &'static str,
-    /// Its height, from 0 to 1.
+    /// Height, from 0 to 1.
     pub share: f64,
 }
 
+/// Width and height in pixels.
 const SIZE: (u32, u32) = (960, 460);
 
-/// Above the bars of the patterns with the heaviest load, which are the lowest.
-const LEGEND_AT: SeriesLabelPosition = SeriesLabelPosition::Coordinate(190, 6);
+/// Position above the lowest bars, which are those of the patterns with the heaviest load.
+const LEGEND_POSITION: SeriesLabelPosition = SeriesLabelPosition::Coordinate(190, 6);
 
-/// Part of the room of a pattern that its bars take up.
-const BARS_SHARE: f64 = 0.8;
+/// Share of the width of a pattern that its bars cover.
+const BARS_WIDTH_SHARE: f64 = 0.8;
 
 const COLOURS: [RGBColor; 4] = [
     RGBColor(150, 150, 150),
@@ -31,13 +32,13 @@
     RGBColor(20, 120, 60),
 ];
 
-/// Draws the bars as SVG, in the order of their first appearance.
+/// Draws the bars as SVG. Patterns and policies keep the order of their first appearance.
 ///
 /// # Errors
-/// What the plotting library says, such as a file that cannot be written.
-pub fn draw(file: &Path, title: &str, bars: &[Bar]) -> Result<(), Box<dyn Error>> {
-    let patterns = in_order(bars.iter().map(|bar| bar.pattern.as_str()));
-    let policies = in_order(bars.iter().map(|bar| bar.policy));
+/// The error of the plotting library, for example if the file cannot be written.
+pub fn draw_bars(file: &Path, title: &str, bars: &[Bar]) -> Result<(), Box<dyn Error>> {
+    let patterns = unique_in_order(bars.iter().map(|bar| bar.pattern.as_str()));
+    let policies = unique_in_order(bars.iter().map(|bar| bar.policy));
     let area = SVGBackend::new(file, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -54,7 +55,7 @@
         .x_label_formatter(&name)
         .y_label_formatter(&|share| format!("{:.0} %", share * 100.0))
         .draw()?;
-    let width = BARS_SHARE / policies.len() as f64;
+    let width = BARS_WIDTH_SHARE / policies.len() as f64;
     for (n, policy) in policies.iter().enumerate() {
         let colour = COLOURS[n % COLOURS.len()];
         let of_policy = bars.iter().filter(|bar| bar.policy == *policy);
@@ -70,7 +71,7 @@
     }
     chart
         .configure_series_labels()
-        .position(LEGEND_AT)
+        .position(LEGEND_POSITION)
         .background_style(WHITE.mix(0.8))
         .border_style(BLACK)
         .draw()?;
@@ -78,11 +79,11 @@
     Ok(())
 }
 
-fn in_order<'a>(all: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
+fn unique_in_order<'a>(all: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
     let mut seen = Vec::new();
-    for one in all {
-        if !seen.contains(&one) {
-            seen.push(one);
+    for name in all {
+        if !seen.contains(&name) {
+            seen.push(name);
         }
     }
     seen
--- a/crates/bulrushusher_model/src/quota_patterns.rs
+++ b/crates/bulrushusher_model/src/quota_patterns.rs
@@ -1,35 +1,35 @@
-//! What may happen to gateways while they keep a quota together.
+//! Patterns of demand and faults while gateways enforce a shared quota.
 
 use derive_more::Display;
 
-/// A pattern of demand and trouble.
+/// A pattern of demand, with a fault where its description says so.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum QuotaPattern {
-    /// The usual demand: somewhat more than half of the quota.
+    /// The usual demand, somewhat more than half of the quota.
     #[display("usual demand")]
     Usual,
-    /// The account sends seven and a half times its usual for some seconds.
+    /// The account sends 7.5 times its usual demand for some seconds.
     #[display("hot account")]
     HotAccount,
-    /// The quota is lowered to a quarter while demand stays.
+    /// The quota is lowered to a quarter; demand stays the same.
     #[display("lowered quota")]
     LoweredQuota,
-    /// All gateways are killed at once while the account is hot, and start again a second later; three times
-    /// within a window.
+    /// All gateways are killed at the same time and restart a second later, three times within a
+    /// window, while the account is hot.
     #[display("total restart")]
     TotalRestart,
-    /// Gateways are started again one after the other while the account is hot.
+    /// Gateways restart one after the other while the account is hot.
     #[display("rolling restart")]
     RollingRestart,
-    /// Half of the gateways do not hear the other half while the account is hot.
+    /// A network partition into two halves while the account is hot.
     #[display("two halves")]
-    TwoHalves,
-    /// A tenth of the gateways hears nobody while the account is hot.
+    Partition,
+    /// A tenth of the gateways exchange no reports with any other gateway while the account is hot.
     #[display("a tenth cut off")]
-    TenthCutOff,
-    /// One word in ten between gateways is lost while the account is hot.
+    TenthIsolated,
+    /// One in ten reports between gateways is lost while the account is hot.
     #[display("lost words")]
-    LostWords,
+    LostReports,
 }
 
 impl QuotaPattern {
@@ -40,20 +40,20 @@
         QuotaPattern::LoweredQuota,
         QuotaPattern::TotalRestart,
         QuotaPattern::RollingRestart,
-        QuotaPattern::TwoHalves,
-        QuotaPattern::TenthCutOff,
-        QuotaPattern::LostWords,
+        QuotaPattern::Partition,
+        QuotaPattern::TenthIsolated,
+        QuotaPattern::LostReports,
     ];
 
-    /// True where demand is far above the quota for some seconds.
+    /// Whether demand is far above the quota for some seconds.
     pub(crate) fn is_hot(self) -> bool {
         !matches!(self, QuotaPattern::Usual | QuotaPattern::LoweredQuota)
     }
 
-    /// Share of the words between gateways that are lost.
-    pub(crate) fn loss(self) -> f64 {
+    /// Share of lost reports between gateways.
+    pub(crate) fn report_loss(self) -> f64 {
         match self {
-            QuotaPattern::LostWords => 0.1,
+            QuotaPattern::LostReports => 0.1,
             _ => 0.001,
         }
     }
--- a/crates/bulrushusher_model/src/quotas.rs
+++ b/crates/bulrushusher_model/src/quotas.rs
@@ -1,7 +1,8 @@
-//! Gateways that keep one account's quota together, told of each other by words that take time.
+//! Simulates gateways that share the quota of one client account by reports, which arrive with a
+//! delay.
 //!
-//! Callers send requests to gateways by chance. What a single bucket that knows all at once would let
-//! through is what the account is owed; what the gateways refuse of that is lost to it.
+//! Callers choose gateways at random. The account is entitled to what a single token bucket with
+//! immediate knowledge of all requests would admit. What the gateways refuse of that is lost to it.
 
 use std::collections::VecDeque;
 use std::ops::Range;
@@ -15,27 +16,27 @@
 
 use crate::QuotaPattern;
 
-/// How the account's callers behave, and between whom they are spread.
+/// The account's quota and demand, and the gateways that share it.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaLoad {
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
     /// The account's quota.
     pub quota: Quota,
-    /// Usual demand, as a share of the quota.
+    /// Usual demand, relative to the quota.
     pub usual: f64,
-    /// Times the usual demand while the account is hot.
+    /// Factor on the usual demand while the account is hot.
     pub hot: f64,
-    /// What a request counts as on average.
+    /// Mean cost of a request, in units of the quota.
     pub cost: f64,
-    /// Seconds that are played.
+    /// Simulated duration, in seconds.
     pub seconds: u64,
-    /// How strictly the quota is kept.
+    /// How strictly the quota is enforced.
     pub cfg: QuotaConfig,
 }
 
 impl QuotaLoad {
-    /// A middling account of a fleet of that many gateways.
+    /// An account of medium size in a fleet of `gateways` gateways.
     pub fn new(gateways: usize) -> QuotaLoad {
         let cfg = QuotaConfig { slack: 120_000.0, ..QuotaConfig::default() };
         let quota = Quota { per_second: 60_000.0, burst: 60_000.0 };
@@ -43,214 +44,220 @@
     }
 }
 
-/// What became of the account's requests.
+/// Quota units requested, admitted and lost.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct QuotaOutcome {
-    /// Units that were asked for.
-    pub asked: f64,
-    /// Units that one bucket which knows all at once would have let through.
-    pub owed: f64,
-    /// Units that were let through.
+    /// Requested units.
+    pub requested: f64,
+    /// Units that a single token bucket would have admitted.
+    pub entitled: f64,
+    /// Admitted units.
     pub admitted: f64,
-    /// Of the owed units, those that were not made up for by others in the same window.
+    /// Entitled units in excess of the admitted ones, summed per window.
     pub lost: f64,
-    /// The most that was let through in a window, as a share of what is allowed there.
+    /// Largest use in any window, relative to the allentitled use.
     pub worst_window: f64,
-    /// Words that one gateway sent to another with something of quotas in them, a second.
-    pub words_per_second: f64,
+    /// Rate of non-empty reports from one gateway to another, per second.
+    pub reports_per_second: f64,
 }
 
 impl QuotaOutcome {
-    /// Share of the owed units that was lost.
+    /// Share of the entitled units that was lost.
     pub fn lost_share(&self) -> f64 {
-        self.lost / self.owed.max(1.0)
+        self.lost / self.entitled.max(1.0)
     }
 }
 
-/// When the trouble of a play begins that has one only, in ms.
-const BEGINS: Millis = Millis(10_000);
+/// Start of the fault in simulations with a single one.
+const FAULT_START: Millis = Millis(10_000);
 
-/// How long trouble lasts, and a hot account stays hot after the last of it has begun.
-const LASTS: u64 = 10_000;
+/// Duration of a fault, and of a hot account after the start of the last fault, in ms.
+const FAULT_DURATION_MS: u64 = 10_000;
 
-/// When all gateways are killed, from the begin of that trouble on.
-const KILLED_AFTER: [u64; 3] = [2_000, 4_500, 7_000];
+/// Times at which all gateways are killed, in ms after the start of that fault.
+const KILL_TIMES_MS: [u64; 3] = [2_000, 4_500, 7_000];
 
-/// A pattern, and when it begins.
+/// A pattern and its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct QuotaTrouble {
-    /// What happens.
+pub struct QuotaFault {
+    /// The pattern of demand or the fault.
     pub pattern: QuotaPattern,
-    /// When it begins; it lasts ten seconds.
+    /// Its start; it lasts 10 s.
     pub at: Millis,
 }
 
-impl QuotaTrouble {
+impl QuotaFault {
     fn span(self) -> Range<u64> {
-        self.at.0..self.at.0 + LASTS
+        self.at.0..self.at.0 + FAULT_DURATION_MS
     }
 }
 
-/// Time that a killed gateway is away.
-const AWAY: u64 = 1_000;
+/// Time until a killed gateway is running again, in ms.
+const RESTART_MS: u64 = 1_000;
 
-/// Time in which a rolling restart goes once through all gateways.
-const ROLL: u64 = 10_000;
+/// Time in which a rolling restart restarts every gateway once, in ms.
+const ROLLING_RESTART_MS: u64 = 10_000;
 
-/// Least and longest time between two words of a gateway, and between whole ones.
-const LEAST_GAP: u64 = 8;
-const LONGEST_GAP: u64 = 700;
-const WHOLE_EVERY: u64 = 1_000;
+/// Minimum interval between two reports of a gateway, in ms.
+const MIN_REPORT_INTERVAL_MS: u64 = 8;
+/// Maximum interval between two reports of a gateway, in ms.
+const MAX_REPORT_INTERVAL_MS: u64 = 700;
+/// Interval between full reports, in ms.
+const FULL_REPORT_INTERVAL_MS: u64 = 1_000;
 
-/// Longest time that a word is on its way.
-const LONGEST_WAY: u64 = 15;
+/// Maximum delay of a report, in ms.
+const MAX_REPORT_DELAY_MS: u64 = 15;
 
 struct Gateway {
-    book: QuotaLimiter,
-    life: u64,
-    /// It does not run before.
-    back_at: u64,
-    spoke_at: u64,
-    whole_at: u64,
-    is_due: bool,
+    limiter: QuotaLimiter,
+    incarnation: u64,
+    /// The gateway does not run before this time.
+    running_from: u64,
+    reported_at: u64,
+    full_report_at: u64,
+    /// Whether a report is due before the maximum interval ends.
+    is_report_due: bool,
 }
 
-struct Word {
+/// A report in flight.
+struct InFlightReport {
     from: usize,
     to: usize,
-    life: u64,
-    whole: bool,
-    spends: Rc<UsageReport>,
+    incarnation: u64,
+    is_full: bool,
+    usage: Rc<UsageReport>,
 }
 
-struct Play {
+struct QuotaSimulation {
     load: QuotaLoad,
-    troubles: Vec<QuotaTrouble>,
+    faults: Vec<QuotaFault>,
     account: ClientAccountName,
     rng: ChaCha8Rng,
     gateways: Vec<Gateway>,
-    /// Words under way, by the ms in which they arrive.
-    under_way: VecDeque<Vec<Word>>,
-    /// What one bucket that knows all would hold.
-    ideal: f64,
-    owed: Vec<f64>,
+    /// Reports in flight, by the ms of their arrival.
+    in_flight: VecDeque<Vec<InFlightReport>>,
+    /// Content of the single token bucket that determines the entitlement.
+    ideal_bucket: f64,
+    /// Entitled units, by ms.
+    entitled: Vec<f64>,
+    /// Admitted units, by ms.
     admitted: Vec<f64>,
-    words: u64,
+    reports: u64,
     outcome: QuotaOutcome,
 }
 
-/// Plays a pattern.
+/// Simulates a single pattern.
 ///
 /// ```
-/// use bulrushusher_model::{QuotaLoad, QuotaPattern, play_quotas};
-/// let outcome = play_quotas(&QuotaLoad::new(5), QuotaPattern::Usual, 1);
+/// use bulrushusher_model::{QuotaLoad, QuotaPattern, simulate_quotas};
+/// let outcome = simulate_quotas(&QuotaLoad::new(5), QuotaPattern::Usual, 1);
 /// assert!(outcome.lost_share() < 0.01 && outcome.worst_window < 1.0, "{outcome:?}");
 /// ```
-pub fn play_quotas(load: &QuotaLoad, pattern: QuotaPattern, seed: u64) -> QuotaOutcome {
-    play_quota_troubles(load, &[QuotaTrouble { pattern, at: BEGINS }], seed)
+pub fn simulate_quotas(load: &QuotaLoad, pattern: QuotaPattern, seed: u64) -> QuotaOutcome {
+    simulate_quota_faults(load, &[QuotaFault { pattern, at: FAULT_START }], seed)
 }
 
-/// Plays several patterns, which may overlap.
-pub fn play_quota_troubles(load: &QuotaLoad, troubles: &[QuotaTrouble], seed: u64) -> QuotaOutcome {
-    let mut play = Play::new(*load, troubles.to_vec(), seed);
+/// Simulates several patterns, which may overlap.
+pub fn simulate_quota_faults(load: &QuotaLoad, faults: &[QuotaFault], seed: u64) -> QuotaOutcome {
+    let mut simulation = QuotaSimulation::new(*load, faults.to_vec(), seed);
     for now in 0..load.seconds * 1_000 {
-        play.step(now);
+        simulation.step(now);
     }
-    play.finish()
+    simulation.finish()
 }
 
-impl Play {
-    fn new(load: QuotaLoad, troubles: Vec<QuotaTrouble>, seed: u64) -> Play {
-        let account: ClientAccountName = "studio-7".try_into().expect("it is a name");
+impl QuotaSimulation {
+    fn new(load: QuotaLoad, faults: Vec<QuotaFault>, seed: u64) -> QuotaSimulation {
+        let account: ClientAccountName = "studio-7".try_into().expect("the name is valid");
         let gateways = (0..load.gateways).map(|_| gateway(&load, load.quota, &account, 0));
-        Play {
+        QuotaSimulation {
             gateways: gateways.collect(),
             load,
-            troubles,
+            faults,
             account,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            under_way: (0..=LONGEST_WAY).map(|_| Vec::new()).collect(),
-            ideal: load.quota.burst,
-            owed: Vec::new(),
+            in_flight: (0..=MAX_REPORT_DELAY_MS).map(|_| Vec::new()).collect(),
+            ideal_bucket: load.quota.burst,
+            entitled: Vec::new(),
             admitted: Vec::new(),
-            words: 0,
+            reports: 0,
             outcome: QuotaOutcome::default(),
         }
     }
 
     fn quota(&self, now: u64) -> Quota {
-        let lowers = |it: &QuotaTrouble| it.pattern == QuotaPattern::LoweredQuota;
-        let is_low = self.troubles.iter().any(|it| lowers(it) && now >= it.at.0);
-        let part = if is_low { 0.25 } else { 1.0 };
-        Quota { per_second: self.load.quota.per_second * part, ..self.load.quota }
+        let is_lowered = |it: &QuotaFault| it.pattern == QuotaPattern::LoweredQuota;
+        let is_low = self.faults.iter().any(|it| is_lowered(it) && now >= it.at.0);
+        let factor = if is_low { 0.25 } else { 1.0 };
+        Quota { per_second: self.load.quota.per_second * factor, ..self.load.quota }
     }
 
     fn step(&mut self, now: u64) {
-        self.trouble(now);
-        self.hear(now);
+        self.apply_faults(now);
+        self.deliver_reports(now);
         let quota = self.quota(now);
-        self.ideal = (self.ideal + quota.per_second / 1_000.0).min(quota.burst);
-        let (mut owed, mut admitted) = (0.0, 0.0);
+        self.ideal_bucket = (self.ideal_bucket + quota.per_second / 1_000.0).min(quota.burst);
+        let (mut entitled, mut admitted) = (0.0, 0.0);
         for _ in 0..self.arrivals(now) {
             let cost = (self.load.cost * (0.2 + 1.6 * self.rng.random::<f64>())) as u64;
             let nth = self.rng.random_range(0..self.gateways.len());
-            self.outcome.asked += cost as f64;
-            if self.gateways[nth].back_at > now {
+            self.outcome.requested += cost as f64;
+            if self.gateways[nth].running_from > now {
                 continue;
             }
-            if self.ideal >= cost as f64 {
-                self.ideal -= cost as f64;
-                owed += cost as f64;
+            if self.ideal_bucket >= cost as f64 {
+                self.ideal_bucket -= cost as f64;
+                entitled += cost as f64;
             }
             let gateway = &mut self.gateways[nth];
-            if gateway.book.admit(&self.account, cost, Millis(now)).is_ok() {
+            if gateway.limiter.admit(&self.account, cost, Millis(now)).is_ok() {
                 admitted += cost as f64;
-                gateway.is_due |= gateway.book.is_report_due(&self.account);
+                gateway.is_report_due |= gateway.limiter.is_report_due(&self.account);
             }
         }
-        self.owed.push(owed);
+        self.entitled.push(entitled);
         self.admitted.push(admitted);
         for nth in 0..self.gateways.len() {
-            self.speak(nth, now);
+            self.send_report(nth, now);
         }
     }
 
-    /// Requests of this ms.
+    /// Number of requests that arrive in this ms.
     fn arrivals(&mut self, now: u64) -> usize {
-        let hot = self.troubles.iter().filter(|it| it.pattern.is_hot());
+        let hot = self.faults.iter().filter(|it| it.pattern.is_hot());
         let from = hot.clone().map(|it| it.span().start).min();
         let until = hot.map(|it| it.span().end).max();
         let is_hot = from.is_some_and(|from| now >= from) && until.is_some_and(|end| now < end);
-        let times = if is_hot { self.load.hot } else { 1.0 };
+        let factor = if is_hot { self.load.hot } else { 1.0 };
         let per_ms =
-            self.load.quota.per_second * self.load.usual * times / self.load.cost / 1_000.0;
+            self.load.quota.per_second * self.load.usual * factor / self.load.cost / 1_000.0;
         let whole = per_ms.floor();
         whole as usize + usize::from(self.rng.random::<f64>() < per_ms - whole)
     }
 
-    fn trouble(&mut self, now: u64) {
-        for trouble in self.troubles.clone() {
-            self.strike(trouble, now);
+    fn apply_faults(&mut self, now: u64) {
+        for fault in self.faults.clone() {
+            self.apply_fault(fault, now);
         }
     }
 
-    fn strike(&mut self, trouble: QuotaTrouble, now: u64) {
-        let Some(since) = now.checked_sub(trouble.at.0) else { return };
+    fn apply_fault(&mut self, fault: QuotaFault, now: u64) {
+        let Some(since) = now.checked_sub(fault.at.0) else { return };
         let count = self.gateways.len() as u64;
-        match trouble.pattern {
-            QuotaPattern::TotalRestart if KILLED_AFTER.contains(&since) => {
+        match fault.pattern {
+            QuotaPattern::TotalRestart if KILL_TIMES_MS.contains(&since) => {
                 (0..self.gateways.len()).for_each(|nth| self.restart(nth, now));
             }
-            QuotaPattern::RollingRestart if trouble.span().contains(&now) => {
+            QuotaPattern::RollingRestart if fault.span().contains(&now) => {
                 let since = since.saturating_sub(500);
-                if since.is_multiple_of(ROLL / count) {
-                    self.restart((since / (ROLL / count) % count) as usize, now);
+                if since.is_multiple_of(ROLLING_RESTART_MS / count) {
+                    self.restart((since / (ROLLING_RESTART_MS / count) % count) as usize, now);
                 }
             }
             QuotaPattern::LoweredQuota if since == 0 => {
                 let quota = self.quota(now);
                 for gateway in &mut self.gateways {
-                    gateway.book.set_quotas([(&self.account, Some(quota))], Millis(now));
+                    gateway.limiter.set_quotas([(&self.account, Some(quota))], Millis(now));
                 }
             }
             _ => {}
@@ -258,65 +265,67 @@
     }
 
     fn restart(&mut self, nth: usize, now: u64) {
-        let back_at = now + AWAY;
-        self.gateways[nth] = gateway(&self.load, self.quota(now), &self.account, back_at);
+        let running_from = now + RESTART_MS;
+        self.gateways[nth] = gateway(&self.load, self.quota(now), &self.account, running_from);
     }
 
-    /// True when a word of one gateway reaches the other.
+    /// Whether reports of one gateway reach the other.
     fn reaches(&self, from: usize, to: usize, now: u64) -> bool {
         let half = self.gateways.len() / 2;
         let tenth = self.gateways.len().div_ceil(10);
-        let mut present = self.troubles.iter().filter(|it| it.span().contains(&now));
-        present.all(|it| match it.pattern {
-            QuotaPattern::TwoHalves => (from < half) == (to < half),
-            QuotaPattern::TenthCutOff => from >= tenth && to >= tenth,
+        let mut active = self.faults.iter().filter(|it| it.span().contains(&now));
+        active.all(|it| match it.pattern {
+            QuotaPattern::Partition => (from < half) == (to < half),
+            QuotaPattern::TenthIsolated => from >= tenth && to >= tenth,
             _ => true,
         })
     }
 
-    /// Share of the words between gateways that are lost now.
-    fn loss(&self) -> f64 {
-        self.troubles.iter().map(|it| it.pattern.loss()).fold(0.0, f64::max)
+    /// Share of lost reports between gateways.
+    fn report_loss(&self) -> f64 {
+        self.faults.iter().map(|it| it.pattern.report_loss()).fold(0.0, f64::max)
     }
 
-    fn speak(&mut self, nth: usize, now: u64) {
+    fn send_report(&mut self, nth: usize, now: u64) {
         let gateway = &mut self.gateways[nth];
-        let silent = now - gateway.spoke_at.min(now);
-        let is_due = gateway.is_due && silent >= LEAST_GAP || silent >= LONGEST_GAP;
-        if gateway.back_at > now || !is_due && gateway.spoke_at != gateway.back_at {
+        let elapsed = now - gateway.reported_at.min(now);
+        let is_due = gateway.is_report_due && elapsed >= MIN_REPORT_INTERVAL_MS
+            || elapsed >= MAX_REPORT_INTERVAL_MS;
+        if gateway.running_from > now || !is_due && gateway.reported_at != gateway.running_from {
             return;
         }
-        let whole = now - gateway.whole_at.min(now) >= WHOLE_EVERY;
-        let spends = Rc::new(gateway.book.next_report(whole, Millis(now)));
-        (gateway.spoke_at, gateway.is_due) = (now.max(gateway.back_at + 1), false);
-        if whole {
-            gateway.whole_at = now;
+        let is_full = now - gateway.full_report_at.min(now) >= FULL_REPORT_INTERVAL_MS;
+        let usage = Rc::new(gateway.limiter.next_report(is_full, Millis(now)));
+        (gateway.reported_at, gateway.is_report_due) = (now.max(gateway.running_from + 1), false);
+        if is_full {
+            gateway.full_report_at = now;
         }
-        let life = gateway.life;
-        self.words += u64::from(!spends.accounts.is_empty());
+        let incarnation = gateway.incarnation;
+        self.reports += u64::from(!usage.accounts.is_empty());
         for to in 0..self.gateways.len() {
-            let is_lost = self.rng.random::<f64>() < self.loss();
+            let is_lost = self.rng.random::<f64>() < self.report_loss();
             if to == nth || is_lost || !self.reaches(nth, to, now) {
                 continue;
             }
-            let way = self.rng.random_range(1..=LONGEST_WAY) as usize;
-            let word = Word { from: nth, to, life, whole, spends: spends.clone() };
-            self.under_way[way - 1].push(word);
+            let delay = self.rng.random_range(1..=MAX_REPORT_DELAY_MS) as usize;
+            let report =
+                InFlightReport { from: nth, to, incarnation, is_full, usage: usage.clone() };
+            self.in_flight[delay - 1].push(report);
         }
     }
 
-    fn hear(&mut self, now: u64) {
-        let arrived = self.under_way.pop_front().unwrap_or_default();
-        self.under_way.push_back(Vec::new());
-        for word in arrived {
-            let Word { from, to, life, whole, spends } = word;
+    fn deliver_reports(&mut self, now: u64) {
+        let arrived = self.in_flight.pop_front().unwrap_or_default();
+        self.in_flight.push_back(Vec::new());
+        for report in arrived {
+            let InFlightReport { from, to, incarnation, is_full, usage } = report;
             let gateway = &mut self.gateways[to];
-            if gateway.back_at <= now {
-                gateway.book.merge_report(
+            if gateway.running_from <= now {
+                gateway.limiter.merge_report(
                     &format!("gateway-{from}"),
-                    life,
-                    &spends,
-                    whole,
+                    incarnation,
+                    &usage,
+                    is_full,
                     Millis(now),
                 );
             }
@@ -325,11 +334,11 @@
 
     fn finish(self) -> QuotaOutcome {
         let mut outcome = self.outcome;
-        outcome.owed = self.owed.iter().sum();
+        outcome.entitled = self.entitled.iter().sum();
         outcome.admitted = self.admitted.iter().sum();
         let window = self.load.cfg.window.0 as usize;
-        for (owed, admitted) in self.owed.chunks(window).zip(self.admitted.chunks(window)) {
-            let missing = owed.iter().sum::<f64>() - admitted.iter().sum::<f64>();
+        for (entitled, admitted) in self.entitled.chunks(window).zip(self.admitted.chunks(window)) {
+            let missing = entitled.iter().sum::<f64>() - admitted.iter().sum::<f64>();
             outcome.lost += missing.max(0.0);
         }
         let mut sum = 0.0;
@@ -338,26 +347,39 @@
             if now >= window {
                 sum -= self.admitted[now - window];
             }
-            let quota = self.allowed_at(now, window);
+            let quota = self.allentitled_at(now, window);
             let in_window = quota.per_second / 1_000.0 * window as f64 + quota.burst;
             let cfg = self.load.cfg;
-            let allowed = in_window * (1.0 + cfg.overage) + cfg.slack;
-            outcome.worst_window = outcome.worst_window.max(sum / allowed);
+            let allentitled = in_window * (1.0 + cfg.overage) + cfg.slack;
+            outcome.worst_window = outcome.worst_window.max(sum / allentitled);
         }
-        let spoken = self.gateways.len() as f64 * self.load.seconds as f64;
-        outcome.words_per_second = self.words as f64 / spoken;
+        let gateway_seconds = self.gateways.len() as f64 * self.load.seconds as f64;
+        outcome.reports_per_second = self.reports as f64 / gateway_seconds;
         outcome
     }
 
-    /// The quota that binds the window that ends then: a lower one binds those that begin after it.
-    fn allowed_at(&self, now: usize, window: usize) -> Quota {
+    /// The quota that applies to the window that ends at `now`. A lowered quota applies to the
+    /// windows that start after the change.
+    fn allentitled_at(&self, now: usize, window: usize) -> Quota {
         self.quota(now.saturating_sub(window) as u64)
     }
 }
 
-fn gateway(load: &QuotaLoad, quota: Quota, account: &ClientAccountName, back_at: u64) -> Gateway {
-    let mut book = QuotaLimiter::new(load.cfg, Millis(back_at));
-    book.set_quotas([(account, Some(quota))], Millis(back_at));
-    book.set_announced_peers(load.gateways - 1);
-    Gateway { book, life: back_at, back_at, spoke_at: back_at, whole_at: 0, is_due: true }
+fn gateway(
+    load: &QuotaLoad,
+    quota: Quota,
+    account: &ClientAccountName,
+    running_from: u64,
+) -> Gateway {
+    let mut limiter = QuotaLimiter::new(load.cfg, Millis(running_from));
+    limiter.set_quotas([(account, Some(quota))], Millis(running_from));
+    limiter.set_announced_peers(load.gateways - 1);
+    Gateway {
+        limiter,
+        incarnation: running_from,
+        running_from,
+        reported_at: running_from,
+        full_report_at: 0,
+        is_report_due: true,
+    }
 }
--- a/crates/bulrushusher_model/tests/quotas.rs
+++ b/crates/bulrushusher_model/tests/quotas.rs
@@ -1,55 +1,56 @@
-//! Quotas kept by many gateways together: never above what is allowed in any window, and as little as
-//! possible refused below it.
+//! Many gateways share the quota of a client account: no window exceeds the allowed use, and hardly
+//! anything below it is refused.
 
 use bulrushusher_accounts::{QuotaConfig, Sharing};
 use bulrushusher_model::{
-    QuotaLoad, QuotaOutcome, QuotaPattern, QuotaTrouble, play_quota_troubles, play_quotas,
+    QuotaFault, QuotaLoad, QuotaOutcome, QuotaPattern, simulate_quota_faults, simulate_quotas,
 };
 use bulrushusher_time::Millis;
 
 const FLEETS: [usize; 3] = [5, 28, 100];
 
-fn played(pattern: QuotaPattern, gateways: usize, sharing: Sharing) -> QuotaOutcome {
+fn simulate(pattern: QuotaPattern, gateways: usize, sharing: Sharing) -> QuotaOutcome {
     let load = QuotaLoad::new(gateways);
     let cfg = QuotaConfig { sharing, ..load.cfg };
-    play_quotas(&QuotaLoad { cfg, ..load }, pattern, 1)
+    simulate_quotas(&QuotaLoad { cfg, ..load }, pattern, 1)
 }
 
 #[test]
-fn no_window_goes_beyond_what_is_allowed_in_any_trouble() {
+fn no_window_exceeds_the_allowance_under_any_fault() {
     for pattern in QuotaPattern::ALL {
         for gateways in FLEETS {
-            let outcome = played(pattern, gateways, Sharing::Told);
+            let outcome = simulate(pattern, gateways, Sharing::Told);
             assert!(outcome.worst_window <= 1.0, "{pattern} {gateways}: {outcome:?}");
         }
     }
 }
 
 #[test]
-fn where_gateways_hear_each_other_hardly_anything_owed_is_refused() {
+fn connected_gateways_refuse_hardly_any_of_the_entitlement() {
     for pattern in [QuotaPattern::Usual, QuotaPattern::HotAccount, QuotaPattern::LoweredQuota] {
         for gateways in FLEETS {
-            let outcome = played(pattern, gateways, Sharing::Told);
+            let outcome = simulate(pattern, gateways, Sharing::Told);
             assert!(outcome.lost_share() < 0.01, "{pattern} {gateways}: {outcome:?}");
         }
     }
 }
 
 #[test]
-fn a_hot_account_gets_less_of_its_quota_from_even_parts() {
-    let told = played(QuotaPattern::HotAccount, 28, Sharing::Told);
-    let even = played(QuotaPattern::HotAccount, 28, Sharing::Even);
-    assert!(told.lost < even.lost, "{told:?} {even:?}");
+fn a_hot_account_gets_less_of_its_quota_from_equal_shares() {
+    let shared = simulate(QuotaPattern::HotAccount, 28, Sharing::Told);
+    let even = simulate(QuotaPattern::HotAccount, 28, Sharing::Even);
+    assert!(shared.lost < even.lost, "{shared:?} {even:?}");
 }
 
 #[test]
-fn hundreds_of_gateways_keep_a_hot_accounts_quota() {
-    let outcome = played(QuotaPattern::HotAccount, 300, Sharing::Told);
+fn hundreds_of_gateways_enforce_the_quota_of_a_hot_account() {
+    let outcome = simulate(QuotaPattern::HotAccount, 300, Sharing::Told);
     assert!(outcome.worst_window <= 1.0, "{outcome:?}");
     assert!(outcome.lost_share() < 0.01, "{outcome:?}");
 }
 
-/// Both begin within two windows of each other.
+/// The worst window of a pair of faults, and the delay of the second in ms at which it occurs. The
+/// delays go up to two windows.
 fn worst_of_pair(
     first: QuotaPattern,
     then: QuotaPattern,
@@ -57,23 +58,23 @@
     step_ms: usize,
 ) -> (f64, u64) {
     let load = QuotaLoad { seconds: 45, ..QuotaLoad::new(gateways) };
-    let played = |after: u64| {
-        let troubles = [
-            QuotaTrouble { pattern: first, at: Millis(10_000) },
-            QuotaTrouble { pattern: then, at: Millis(10_000 + after) },
+    let simulate_delay = |after: u64| {
+        let faults = [
+            QuotaFault { pattern: first, at: Millis(10_000) },
+            QuotaFault { pattern: then, at: Millis(10_000 + after) },
         ];
-        (play_quota_troubles(&load, &troubles, 1).worst_window, after)
+        (simulate_quota_faults(&load, &faults, 1).worst_window, after)
     };
-    let all = (0..=16_000).step_by(step_ms).map(played);
-    all.max_by(|a, b| a.0.total_cmp(&b.0)).expect("some were played")
+    let all = (0..=16_000).step_by(step_ms).map(simulate_delay);
+    all.max_by(|a, b| a.0.total_cmp(&b.0)).expect("there is at least one delay")
 }
 
-/// A quota was passed by gateways that were cut off from each other just after all had been started, and where
-/// a cut outlasted the time after which a silent gateway's part was used by the others: what those that fell
-/// silent could have taken was not taken off by a gateway that had just started, and what was left in the bucket
-/// not by any.
+/// Guards against two faults by which a quota was exceeded: gateways were partitioned just after a
+/// restart of all of them, or a partition outlasted the time after which the others take over the
+/// share of an unreachable gateway. A gateway that had just started did not deduct what the
+/// unreachable ones could have used, and no gateway deducted the remaining content of the bucket.
 #[test]
-fn no_window_goes_beyond_what_is_allowed_in_any_pair_of_troubles() {
+fn no_window_exceeds_the_allowance_under_any_pair_of_faults() {
     for first in QuotaPattern::ALL {
         for then in QuotaPattern::ALL {
             let (worst, after) = worst_of_pair(first, then, 5, 1_000);
@@ -83,14 +84,14 @@
 }
 
 #[test]
-fn more_gateways_keep_quotas_in_pairs_of_cuts_and_restarts() {
-    use QuotaPattern::{LoweredQuota, TenthCutOff, TotalRestart, TwoHalves};
+fn larger_fleets_enforce_quotas_under_pairs_of_partitions_and_restarts() {
+    use QuotaPattern::{LoweredQuota, Partition, TenthIsolated, TotalRestart};
     let pairs = [
-        (TotalRestart, TenthCutOff),
-        (TotalRestart, TwoHalves),
-        (TwoHalves, TwoHalves),
-        (TwoHalves, TenthCutOff),
-        (TwoHalves, LoweredQuota),
+        (TotalRestart, TenthIsolated),
+        (TotalRestart, Partition),
+        (Partition, Partition),
+        (Partition, TenthIsolated),
+        (Partition, LoweredQuota),
     ];
     for (first, then) in pairs {
         let (worst, after) = worst_of_pair(first, then, 28, 2_000);
--- a/crates/bulrushusher_report/src/class_stats.rs
+++ b/crates/bulrushusher_report/src/class_stats.rs
@@ -45,8 +45,8 @@
     pub ttft_ms: Percentiles,
     /// Mean time between tokens, milliseconds.
     pub per_token_ms: Percentiles,
-    /// Burn rate of the error budget: the share of answered requests that missed a target, divided by
-    /// the 5 % that the objective of 95 % allows. Above 1 the budget is being exceeded.
+    /// Burn rate of the error budget: the share of answered requests that missed a target, divided
+    /// by the 5 % that the objective of 95 % allows. Above 1 the budget is being exceeded.
     pub burn: f64,
 }
 
@@ -99,8 +99,8 @@
         self.accepted += 1;
     }
 
-    /// Records a complete response: the time to the first token, and the mean time between tokens in
-    /// milliseconds if there was more than one.
+    /// Records a complete response: the time to the first token, and the mean time between tokens
+    /// in milliseconds if there was more than one.
     pub fn record_answered(&mut self, ttft: Millis, per_token_ms: Option<f64>) {
         self.answered += 1;
         self.ttft.saturating_record(ttft.0.max(1));
--- a/crates/bulrushusher_report/src/gateway.rs
+++ b/crates/bulrushusher_report/src/gateway.rs
@@ -36,8 +36,8 @@
     pub refused: u64,
 }
 
-/// Upper bounds of the latency buckets in ms. They are dense around the response-time targets of plain
-/// calls (about 0.3 s) and generations (about 1 s) and reach up to the longest timeouts.
+/// Upper bounds of the latency buckets in ms. They are dense around the response-time targets of
+/// plain calls (about 0.3 s) and generations (about 1 s) and reach up to the longest timeouts.
 const LATENCY_BUCKETS_MS: &[f64] = &[
     5.0, 10.0, 25.0, 50.0, 100.0, 200.0, 300.0, 500.0, 700.0, 900.0, 1_500.0, 3_000.0, 6_000.0,
     14_000.0,
--- a/crates/bulrushusher_report/src/lib.rs
+++ b/crates/bulrushusher_report/src/lib.rs
@@ -1,5 +1,5 @@
-//! Metrics of entries and gateways, and latency, goodput and error-budget statistics per deliverable
-//! class.
+//! Metrics of entries and gateways, and latency, goodput and error-budget statistics per
+//! deliverable class.
 
 mod class_stats;
 mod entry;
