--- a/crates/bulrushusher_model/src/prefill_site.rs
+++ b/crates/bulrushusher_model/src/prefill_site.rs
@@ -233,7 +233,7 @@
                 self.record_first_event(end - arrived);
             }
             Some(PrefillSite::Decode) => {
-                self.prefill_at_decode(now, arrived, tokens, prefilling, decode)
+                self.prefill_at_decode(now, arrived, tokens, prefilling, decode);
             }
             None => return false,
         }
