--- a/crates/bulrushusher_gateway/src/placement/place.rs
+++ b/crates/bulrushusher_gateway/src/placement/place.rs
@@ -248,7 +248,7 @@
     if held.is_none() {
         cx.shared.release_permits(&runner, REQUESTS_PER_GENERATION - 1);
     }
-    cx.metrics.hold(result);
+    cx.metrics.record_memory_request(result);
     log::info!(
         "place: asked for memory id={} runner={} tokens={tokens} result={result} waited_ms={} \
          ms={}",
--- a/crates/bulrushusher_gateway/src/store/intake.rs
+++ b/crates/bulrushusher_gateway/src/store/intake.rs
@@ -182,7 +182,7 @@
             sanitized(name),
             sanitized(cause),
         );
-        self.metrics.store_call(topic.label(), "unreadable");
+        self.metrics.record_store_call(topic.label(), "unreadable");
         let id = RunnerId::try_from(name.as_str()).ok()?;
         (topic == Topic::Runners).then_some(RunnerChange::Unusable(id))
     }
--- a/crates/bulrushusher_gateway/src/store/orders.rs
+++ b/crates/bulrushusher_gateway/src/store/orders.rs
@@ -332,7 +332,7 @@
             // It may still be carried out, so it stays recorded until it must have taken effect.
             Err(e) => ("unanswered", e.to_string()),
         };
-        self.metrics.order(result);
+        self.metrics.record_order(result);
         log::info!(
             "orders: stage runner={} to={stage} fence={fence} accepted_before={accepted} \
              result={result} detail=\"{detail}\"",
--- a/crates/bulrushusher_gateway/src/store/quarantine.rs
+++ b/crates/bulrushusher_gateway/src/store/quarantine.rs
@@ -43,7 +43,7 @@
         let mut restores = self.shared.store_restores();
         loop {
             while let Err(cause) = self.sync().await {
-                self.metrics.store_call("quarantine", "failed");
+                self.metrics.record_store_call("quarantine", "failed");
                 log::info!("quarantine: record sync failed, retrying cause=\"{cause}\"");
                 tokio::time::sleep(RETRY_DELAY.duration()).await;
             }
@@ -59,7 +59,7 @@
     async fn sync(&self) -> Result<(), String> {
         let record = self.store.read_record(RECORD, CALL_TIMEOUT).await;
         let record = record.map_err(|e| e.to_string())?;
-        self.metrics.store_call("quarantine", "read");
+        self.metrics.record_store_call("quarantine", "read");
         let (revision, stored) = match record {
             Some(record) => (Some(record.revision), parse_record(record.value).requests),
             None => (None, Vec::new()),
@@ -86,7 +86,7 @@
         let written = self.store.write_record(RECORD, value, revision, CALL_TIMEOUT).await;
         match written.map_err(|e| e.to_string())? {
             RecordWrite::Written(revision) => {
-                self.metrics.store_call("quarantine", "written");
+                self.metrics.record_store_call("quarantine", "written");
                 log::info!("quarantine: written requests={count} revision={revision}");
                 Ok(())
             }
--- a/crates/bulrushusher_gateway/src/store/renewing.rs
+++ b/crates/bulrushusher_gateway/src/store/renewing.rs
@@ -83,7 +83,7 @@
             answer => answer,
         };
         let result = if answer.is_ok() { "renewed" } else { "not_renewed" };
-        self.metrics.store_call("configuration", result);
+        self.metrics.record_store_call("configuration", result);
         let update = answer.map_err(|e| e.to_string())?;
         self.intake.apply_changes(topic, after, update);
         self.shared.renew_lease(requested_at);
--- a/tools/bulrushusher_testbed/src/run.rs
+++ b/tools/bulrushusher_testbed/src/run.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bulrushusher_report::{ClassFigures, Targets};
+use bulrushusher_report::{ClassStats, LatencyTargets};
 use bulrushusher_routing::Policy;
 use bulrushusher_standin::caller::{Caller, Outcome, Request};
 use bulrushusher_standin::load::{ScheduledRequest, fresh_key, schedule};
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 struct Results {
     tally: Tally,
-    figures: Vec<ClassFigures>,
+    figures: Vec<ClassStats>,
 }
 
 /// Runs a deployment and returns the report and the number of prompt tokens prefilled.
@@ -82,8 +82,8 @@
     let classes = [&deployment.prompt_class, &deployment.call_class];
     let figures = classes
         .map(|class| {
-            let targets = Targets { ttft: class.ttft, per_token: class.per_token };
-            ClassFigures::new(class.name, targets)
+            let targets = LatencyTargets { ttft: class.ttft, per_token: class.per_token };
+            ClassStats::new(class.name, targets)
         })
         .to_vec();
     let results = Arc::new(Mutex::new(Results { tally: Tally::default(), figures }));
@@ -176,9 +176,9 @@
         let outcome = self.caller.send(&request, entry).await;
         self.progress.lock().completed += 1;
         let mut results = self.results.lock();
-        results.figures[flow].accepted();
+        results.figures[flow].record_accepted();
         if let Outcome::Answered { ttft, per_token_ms } = &outcome {
-            results.figures[flow].answered(*ttft, *per_token_ms);
+            results.figures[flow].record_answered(*ttft, *per_token_ms);
         }
         let idempotent = self.flows[flow].idempotent;
         results.tally.record(&CompletedRequest { key: request.key, idempotent, outcome });
