--- a/crates/bulrushusher_ctl/src/cli.rs
+++ b/crates/bulrushusher_ctl/src/cli.rs
@@ -104,9 +104,9 @@
              3 conflicting update, 4 entry or store unreachable, or `wait` timed out",
         )
         .args([entry, output, config, check])
-        .subcommand(object_commands("closing", "Manage closings"))
-        .subcommand(object_commands("endpoint", "Manage endpoints"))
-        .subcommand(object_commands("account", "Manage client accounts"))
+        .subcommand(object_commands("closing", "Closings"))
+        .subcommand(object_commands("endpoint", "Endpoints"))
+        .subcommand(object_commands("account", "Client accounts"))
         .subcommand(
             Command::new("apply")
                 .about("Create or update the objects of a file")
