--- a/crates/bulrushusher_losses/src/request.rs
+++ b/crates/bulrushusher_losses/src/request.rs
@@ -33,7 +33,7 @@
     /// Target for the time to the first event or the response.
     target_ms: u64,
     /// Target for the gaps between events; 0 if there is none.
-    gap_target_ms: u64,
+    event_gap_target_ms: u64,
     /// Time from acceptance to the deadline.
     remaining_ms: u64,
     is_stream: bool,
@@ -62,7 +62,7 @@
                 self.prompt = number("prompt");
                 self.elapsed_before_ms = number("elapsed_before_ms");
                 self.target_ms = number("target_ms");
-                self.gap_target_ms = number("pause_target_ms");
+                self.event_gap_target_ms = number("pause_target_ms");
                 self.remaining_ms = number("left_ms");
                 self.is_stream = line.text("kind") == Some("stream");
             }
@@ -174,7 +174,9 @@
     /// the cause if there was one, else the longest phase.
     fn end_by_latency(&self, ms: u64, longest_gap_ms: u64) -> End {
         let is_on_time = self.elapsed_before_ms + ms <= self.target_ms;
-        if is_on_time && (self.gap_target_ms == 0 || longest_gap_ms <= self.gap_target_ms) {
+        if is_on_time
+            && (self.event_gap_target_ms == 0 || longest_gap_ms <= self.event_gap_target_ms)
+        {
             return End::OnTime;
         }
         if is_on_time {
