--- a/crates/bulrushusher_agent/src/agent.rs
+++ b/crates/bulrushusher_agent/src/agent.rs
@@ -56,7 +56,7 @@
             incarnation: self.incarnation,
             revision: self.keys.revision(),
             leaving: self.slots.is_draining(),
-            load: self.slots.load(),
+            load: self.slots.current_load(),
             engine_load: *self.engine_load.lock(),
         }
     }
@@ -185,7 +185,7 @@
         Ok(runs) => {
             for run in runs {
                 log::info!("{LOG} run {run} is left from an earlier life, cancelled");
-                shared.engine.cancel(&run).await.ok();
+                shared.engine.cancel_run(&run).await.ok();
             }
         }
         Err(e) => log::warn!("{LOG} the engine did not list its runs: {e}"),
--- a/crates/bulrushusher_agent/src/call.rs
+++ b/crates/bulrushusher_agent/src/call.rs
@@ -11,7 +11,7 @@
 use crate::agent::Shared;
 use crate::answer::{Answer, Ending};
 
-/// The header that carries the request's key to the service.
+/// The header that carries the request's idempotency key to the service.
 const KEY_HEADER: &str = "x-request-key";
 /// Maximum duration of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
--- a/crates/bulrushusher_agent/src/config.rs
+++ b/crates/bulrushusher_agent/src/config.rs
@@ -126,11 +126,11 @@
     pub target: SocketAddr,
     /// Slots, queue length and time to live of reservations.
     pub admission: AdmissionConfig,
-    /// How long callers may retry a key.
+    /// How long callers may retry an idempotency key.
     pub horizon: Millis,
     /// Maximum clock skew between two processes.
     pub skew: Millis,
-    /// Maximum keys on record.
+    /// Maximum number of idempotency keys on record.
     pub max_keys: usize,
     /// Maximum total size of finished answers kept for retries.
     pub max_answer_bytes: usize,
--- a/crates/bulrushusher_agent/src/control.rs
+++ b/crates/bulrushusher_agent/src/control.rs
@@ -1,4 +1,5 @@
-//! The control calls that the agent serves.
+//! The control calls that entries make to this agent: reservations of slots, claims and bars of
+//! idempotency keys, cancellation, endpoint lists and heartbeats.
 
 use std::sync::Arc;
 
@@ -12,7 +13,7 @@
 
 use crate::agent::Shared;
 
-/// Implements the control calls.
+/// Serves the control calls of entries.
 pub(crate) struct Control(pub(crate) Arc<Shared>);
 
 #[async_trait]
@@ -29,7 +30,7 @@
             incarnation: shared.incarnation,
             time_to_live: shared.cfg.admission.time_to_live,
         };
-        Ok(ReserveReply { outcome: outcome.map(reservation), load: shared.slots.load() })
+        Ok(ReserveReply { outcome: outcome.map(reservation), load: shared.slots.current_load() })
     }
 
     async fn release(&self, id: ReservationId) -> RpcResult<()> {
--- a/crates/bulrushusher_agent/src/engine.rs
+++ b/crates/bulrushusher_agent/src/engine.rs
@@ -130,7 +130,7 @@
     }
 
     /// Cancels a run and frees its memory; returns false if the engine held none.
-    pub(crate) async fn cancel(&self, run: &str) -> Result<bool, HttpError> {
+    pub(crate) async fn cancel_run(&self, run: &str) -> Result<bool, HttpError> {
         self.http.post(self.engine, "/cancel", &RunName { run }, CALL_TIMEOUT).await
     }
 
--- a/crates/bulrushusher_agent/src/keys.rs
+++ b/crates/bulrushusher_agent/src/keys.rs
@@ -1,4 +1,7 @@
-//! The at-most-once records of this agent, with the answers of its runs.
+//! The at-most-once records of this agent, by idempotency key, with the answers of its runs.
+//!
+//! The agent that is the *home* of a key also records which executor the key is assigned to. A
+//! *bar* makes the agent refuse orders for a key at lower ballots.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -137,7 +140,7 @@
         self.inner.lock().records.end(key, status);
     }
 
-    /// Reverts the recorded start of a run that certainly did not start.
+    /// Reverts the recorded start of the run of a key that certainly did not start.
     pub(crate) fn undo_start(&self, key: &RequestKey, ballot: &Ballot) {
         let mut inner = self.inner.lock();
         inner.records.undo_start(key, ballot);
--- a/crates/bulrushusher_agent/src/lib.rs
+++ b/crates/bulrushusher_agent/src/lib.rs
@@ -5,6 +5,9 @@
 //! control calls ([`control`]) and streams ([`streams`]). `bulrushusher_admission` and
 //! `bulrushusher_once` make the decisions; this crate executes them.
 //!
+//! A *key* here is the idempotency key of a request, and to run a key is to run its request. An
+//! *order* is an entry's message to this agent to prefill a prompt, or to run a key.
+//!
 //! Lock order: `keys` before `slots`. No lock is held across an await.
 
 mod agent;
--- a/crates/bulrushusher_agent/src/run.rs
+++ b/crates/bulrushusher_agent/src/run.rs
@@ -163,7 +163,7 @@
 /// Cancels a run at the engine, which frees its memory. Retries while the engine is reachable.
 async fn cancel(shared: &Shared, run: &str) {
     for _ in 0..MAX_RESUMES {
-        match shared.engine.cancel(run).await {
+        match shared.engine.cancel_run(run).await {
             Ok(_) => return,
             Err(e) if e.is_unsent() => return,
             Err(_) => sleep(RETRY_PAUSE).await,
--- a/crates/bulrushusher_agent/src/slots.rs
+++ b/crates/bulrushusher_agent/src/slots.rs
@@ -103,7 +103,8 @@
         self.inner.lock().admission.used()
     }
 
-    pub(crate) fn load(&self) -> AgentLoad {
+    /// The present use of the slots, and the queue for them.
+    pub(crate) fn current_load(&self) -> AgentLoad {
         let inner = self.inner.lock();
         AgentLoad {
             used: inner.admission.used() as u32,
--- a/crates/bulrushusher_agent/src/streams.rs
+++ b/crates/bulrushusher_agent/src/streams.rs
@@ -1,4 +1,5 @@
-//! The stream server: prefill, run and attach orders, each answered with a stream of frames.
+//! The stream server: entries' orders to prefill, to run and to attach to a run, each answered with
+//! a stream of frames.
 
 use std::convert::Infallible;
 use std::sync::Arc;
--- a/crates/bulrushusher_entry/src/agents.rs
+++ b/crates/bulrushusher_entry/src/agents.rs
@@ -112,7 +112,8 @@
         opened
     }
 
-    /// Reserves a slot; `None` if the agent did not reply.
+    /// Reserves a concurrency slot of the agent's endpoint. The reply contains the reservation or
+    /// the agent's refusal; `None` if the agent did not reply.
     pub(crate) async fn reserve(
         &self,
         endpoint: &Endpoint,
@@ -128,10 +129,14 @@
         self.call(endpoint, CALL_TIMEOUT, release).await;
     }
 
+    /// Requests that the agent, as home of a key, records the key's executor; `None` if it did not
+    /// reply.
     pub(crate) async fn claim(&self, endpoint: &Endpoint, req: ClaimRequest) -> Option<ClaimReply> {
         self.call(endpoint, CALL_TIMEOUT, |rpc| async move { rpc.claim(req).await }).await
     }
 
+    /// Requests that the agent refuses orders for a key at lower ballots from now on; `None` if it
+    /// did not reply.
     pub(crate) async fn bar(&self, endpoint: &Endpoint, req: BarRequest) -> Option<BarResponse> {
         let bar = |rpc: RpcClient| async move { rpc.bar(vec![req]).await };
         self.call(endpoint, CALL_TIMEOUT, bar).await?.into_iter().next()
@@ -181,6 +186,7 @@
         self.open(endpoint, "/run", order, self.idle_timeout).await
     }
 
+    /// Opens a stream that reads the answer of a key that is being executed or has been executed.
     pub(crate) async fn attach(
         &self,
         endpoint: &Endpoint,
--- a/crates/bulrushusher_entry/src/config.rs
+++ b/crates/bulrushusher_entry/src/config.rs
@@ -140,7 +140,7 @@
     pub idle_timeout: Millis,
     /// How long the entry retries to resume a broken stream before the run counts as lost.
     pub resume_timeout: Millis,
-    /// How long callers may retry a key.
+    /// How long callers may retry an idempotency key.
     pub horizon: Millis,
     /// Maximum clock skew between two processes.
     pub skew: Millis,
--- a/crates/bulrushusher_entry/src/configuration.rs
+++ b/crates/bulrushusher_entry/src/configuration.rs
@@ -33,7 +33,8 @@
         self.has_role(service, Role::Prefill) && self.has_role(service, Role::Decode)
     }
 
-    /// True if the service is a plain service.
+    /// True if the service answers plain calls: one endpoint answers each whole request, without
+    /// separate prefill and decode.
     pub(crate) fn serves_calls(&self, service: &ServiceName) -> bool {
         self.has_role(service, Role::Service)
     }
@@ -42,7 +43,8 @@
         self.snapshot.endpoints().any(|(_, e)| e.service == *service && e.role == role)
     }
 
-    /// The endpoints of a service that may execute keys, as needed for settlements.
+    /// The endpoints of a service that may execute requests, as needed to settle which of them
+    /// executes an idempotency key.
     pub(crate) fn list_view(
         &self,
         service: &ServiceName,
--- a/crates/bulrushusher_entry/src/execution.rs
+++ b/crates/bulrushusher_entry/src/execution.rs
@@ -1,5 +1,8 @@
 //! Execution of a request, at most once unless it is idempotent: assigns its key to an executor,
 //! and handles the end of each attempt.
+//!
+//! The *home* of a key is the agent that records which executor the key is assigned to. To *bar* a
+//! key is to make agents refuse orders to execute it at lower ballots.
 
 use std::sync::Arc;
 
@@ -97,7 +100,9 @@
         self.assignment.as_ref().map(|assignment| assignment.executor.clone())
     }
 
-    /// The home of a shared key, which must not execute it.
+    /// The endpoint that is the home of a key chosen by the caller. It must not execute the
+    /// request: if it did, its loss would take both the record of the assigned executor and the
+    /// record of the run.
     pub(crate) fn home(&self) -> Option<EndpointName> {
         if !self.job.shared_key {
             return None;
--- a/crates/bulrushusher_entry/src/request.rs
+++ b/crates/bulrushusher_entry/src/request.rs
@@ -31,7 +31,7 @@
 pub(crate) struct Job {
     /// Its idempotency key.
     pub(crate) key: RequestKey,
-    /// True if the caller chose the key, so that other requests may use it too.
+    /// True if the caller chose the idempotency key, so that other requests may use it too.
     pub(crate) shared_key: bool,
     /// Its deliverable class.
     pub(crate) class: DeliverableClass,
--- a/crates/bulrushusher_entry/src/reservation.rs
+++ b/crates/bulrushusher_entry/src/reservation.rs
@@ -48,7 +48,7 @@
     pub(crate) role: Role,
     pub(crate) job: &'a Job,
     pub(crate) blocks: &'a [u64],
-    /// The home of the key, which must not execute it.
+    /// The endpoint whose agent is the home of the request's key; it must not execute the request.
     pub(crate) home: Option<&'a EndpointName>,
     /// The endpoint that the key is assigned to, if any; no other one may be chosen.
     pub(crate) assigned: Option<&'a EndpointName>,
--- a/crates/bulrushusher_entry/src/settle.rs
+++ b/crates/bulrushusher_entry/src/settle.rs
@@ -1,4 +1,10 @@
-//! Makes the calls to agents that the [`Settlement`] of a key requires.
+//! Makes the calls to agents that the [`Settlement`] of a key requires. The
+//! settlement decides which executor may run the request that the key identifies, or finds that the
+//! request has run already.
+//!
+//! The key's *home* is the agent that records the executor of the key. To *bar* a key at a ballot
+//! is to make agents promise to refuse orders for the key at lower ballots, as in the prepare phase
+//! of Paxos.
 
 use std::sync::Arc;
 
@@ -47,7 +53,8 @@
     run_settlement(shared, job, settlement).await
 }
 
-/// Bars the key with ballots above `above`, round by round until it is settled.
+/// Bars the key at a ballot above `above`, and at higher ones in further rounds, until it is
+/// settled whether the key has run or at which ballot it may run.
 pub(crate) async fn bar(
     shared: &Arc<Shared>,
     job: &Job,
