--- a/crates/bulrushusher_gateway/src/access/caller.rs
+++ b/crates/bulrushusher_gateway/src/access/caller.rs
@@ -10,12 +10,12 @@
 
 use crate::shared::SharedState;
 
-/// Retry-After of a request whose key cannot be checked: another gateway can check it, or this one
-/// after the store's next response.
+/// Retry-After of a request whose API key cannot be checked: another gateway can check it, or this
+/// one after the store's next response.
 pub(crate) const KEY_RECHECK_DELAY: Millis = Millis(100);
 
-/// Refusal reason when the key was revoked, or could no longer be checked, before the request was
-/// sent to a runner.
+/// Refusal reason when the API key was revoked, or could no longer be checked, before the request
+/// was sent to a runner.
 pub(crate) const KEY_NOT_CONFIRMED: &str =
     "the key could not be confirmed when the request's turn came";
 
@@ -62,7 +62,7 @@
         !matches!(self, Caller::Unchecked)
     }
 
-    /// True while the caller's key is valid and may be acted on.
+    /// True while the caller's API key is valid and may be acted on.
     pub(crate) fn is_authorized(&self) -> bool {
         match self {
             Caller::Unchecked | Caller::Anonymous => true,
@@ -109,7 +109,8 @@
         QuotaCharge { shared, account, key, cost, is_sent, is_refunded }
     }
 
-    /// True while the key belongs to the account and the configuration's lease has not lapsed.
+    /// True while the API key belongs to the account and the lease on the configuration has not
+    /// lapsed.
     fn is_authorized(&self) -> bool {
         let Some(routing) = self.shared.routing() else { return false };
         let holder = routing.accounts().and_then(|accounts| accounts.find_by_key(self.key));
--- a/crates/bulrushusher_gateway/src/answers/answer.rs
+++ b/crates/bulrushusher_gateway/src/answers/answer.rs
@@ -46,7 +46,7 @@
     BadRequest(&'static str),
     /// No route matches the host and path.
     NoRoute,
-    /// The request has no valid key of a client account.
+    /// The request has no valid API key of a client account.
     Unauthorized(&'static str),
     /// The client account has used up its quota; the request has not run.
     OverQuota {
@@ -143,7 +143,7 @@
     }
 
     /// The response, with the headers that the protocol adds.
-    pub(crate) fn response(self, headers: HeaderMap) -> Response<ReplyBody> {
+    pub(crate) fn into_response(self, headers: HeaderMap) -> Response<ReplyBody> {
         let run = if self.is_not_run() { "not_run" } else { "outcome_unknown" };
         let text = format!("{{\"run\":\"{run}\",\"message\":\"{}\"}}\n", self.reason());
         let mut reply = Response::new(ReplyBody::whole(Bytes::from(text)));
@@ -206,7 +206,8 @@
     *reply.status_mut() = head.status;
     *reply.headers_mut() = head.headers;
     strip_hop_by_hop(reply.headers_mut());
-    // Another run may continue the stream, so its length may differ from the first run's body.
+    // The Content-Length of the first run is dropped: another run may continue the stream, which
+    // can change its total length.
     reply.headers_mut().remove(hyper::header::CONTENT_LENGTH);
     reply
 }
--- a/crates/bulrushusher_gateway/src/callers/front.rs
+++ b/crates/bulrushusher_gateway/src/callers/front.rs
@@ -81,7 +81,7 @@
     ) -> Response<ReplyBody> {
         if let Err(refusal) = check_framing(&head) {
             log::info!("front: refused cause=\"{}\"", refusal.reason());
-            return refusal.response(HeaderMap::new());
+            return refusal.into_response(HeaderMap::new());
         }
         strip_hop_by_hop(&mut head.headers);
         head.headers.remove(CONTENT_LENGTH);
@@ -91,7 +91,7 @@
             Err(e) => {
                 log::info!("front: refused cause=\"{e}\"");
                 return Refusal::BadRequest("the request head cannot be parsed")
-                    .response(HeaderMap::new());
+                    .into_response(HeaderMap::new());
             }
         };
         let (kind, outcome) = self.forward(&head, &request, body, received).await;
@@ -110,7 +110,7 @@
                     refusal.reason(),
                     request.timeout.map_or(0, |p| p.0),
                 );
-                refusal.response(self.router.dialect.refusal_headers(&request))
+                refusal.into_response(self.router.dialect.refusal_headers(&request))
             }
         };
         log::info!(
--- a/crates/bulrushusher_gateway/src/dialect/mod.rs
+++ b/crates/bulrushusher_gateway/src/dialect/mod.rs
@@ -134,14 +134,14 @@
     pub stop_first: bool,
 }
 
-/// An order to change a runner's stage.
+/// An order: a gateway's request to a runner to change its stage.
 #[derive(Clone, Debug)]
 pub struct StageOrder<'a> {
     /// The runner.
     pub runner: &'a RunnerId,
     /// The stage to change to.
     pub stage: Stage,
-    /// Holder of the lease that permits the order.
+    /// Gateway that holds the ordering lease, which permits the order.
     pub holder: &'a str,
     /// Fencing token of the holder's lease.
     pub fence: u64,
@@ -153,13 +153,13 @@
 /// A runner's own status report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunnerStatus {
-    /// Time of its process start, where runners report it.
+    /// Time of the runner's process start, where runners report it.
     pub born: Option<StartTime>,
-    /// Its stage.
+    /// The runner's stage.
     pub stage: Option<Stage>,
-    /// True while it carries out an order.
+    /// True while the runner carries out an order to change its stage.
     pub busy: bool,
-    /// Number of orders that it has accepted since its start.
+    /// Number of orders to change its stage that the runner has accepted since its process start.
     pub accepted: u64,
 }
 
@@ -180,7 +180,7 @@
     /// Parses the head of a runner's response.
     fn parse_response(&self, head: &response::Parts) -> ResponseInfo;
 
-    /// The headers of a response that the gateway itself gives to a request.
+    /// The headers of a refusal, with which the gateway itself responds to a request.
     fn refusal_headers(&self, request: &CallerRequest) -> HeaderMap;
 
     /// Parses the handle of the KV cache in a runner's response to [`Step::Prefill`] or to
--- a/crates/bulrushusher_gateway/src/dialect/store.rs
+++ b/crates/bulrushusher_gateway/src/dialect/store.rs
@@ -7,13 +7,13 @@
 use bulrushusher_world::RunnerId;
 use derive_more::{Display, Error};
 
-/// A kind of objects in the store.
+/// A kind of objects in the store, which can be listed and watched for changes.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Topic {
-    /// The routing configuration.
+    /// The object with the routing configuration.
     #[display("configuration")]
     Configuration,
-    /// The list of runners.
+    /// The runners' entries, one object each.
     #[display("runners")]
     Runners,
 }
@@ -114,7 +114,7 @@
 pub struct Record {
     /// The stored value.
     pub value: serde_json::Value,
-    /// Revision of its last change.
+    /// Store revision of the last change of this record.
     pub revision: u64,
 }
 
@@ -125,7 +125,7 @@
     pub gateway: String,
     /// The stored value.
     pub value: serde_json::Value,
-    /// Revision of its last change.
+    /// Store revision of the last change of this announcement.
     pub revision: u64,
 }
 
--- a/crates/bulrushusher_gateway/src/peers/relaying.rs
+++ b/crates/bulrushusher_gateway/src/peers/relaying.rs
@@ -16,8 +16,9 @@
 /// How often the relay selection is repeated and missed changes are detected.
 const CHECK_INTERVAL: Millis = Millis(100);
 
-/// Delay before a missed change is requested from a relay. Relays forward changes unasked, and a
-/// gateway that watches the store receives them within this time.
+/// Delay between the detection of a missed change and its request from a relay. Relays forward
+/// changes unasked; within this time each relay receives the change from the store, which it
+/// watches.
 const REQUEST_DELAY: Millis = Millis(250);
 
 /// Time between two requests to relays. A response arrives within some milliseconds.
@@ -29,7 +30,7 @@
 /// Changes of the store, as a relay forwards them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct StoreChanges {
-    /// Revisions of the last changes that the relay has received.
+    /// Revision of the last change of each topic that the relay has received.
     pub revisions: SeenRevisions,
     /// Changes of the runner list.
     pub runners: Option<RunnerDelta>,
--- a/crates/bulrushusher_gateway/src/runners/permit.rs
+++ b/crates/bulrushusher_gateway/src/runners/permit.rs
@@ -1,4 +1,5 @@
-//! Back-pressure policy of a request to a runner.
+//! How requests to a runner respect the back-pressure that the runner signalled (a Retry-After,
+//! a rate limit, or that it is leaving).
 
 /// How the runner's back-pressure applies to a request. Every request to a runner names a policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/bulrushusher_gateway/src/runners/router.rs
+++ b/crates/bulrushusher_gateway/src/runners/router.rs
@@ -110,7 +110,7 @@
         self.shared.now()
     }
 
-    /// Checks that the request may run now: it is not quarantined, and its key is still valid.
+    /// Checks that the request may run now: it is not quarantined, and its API key is still valid.
     ///
     /// # Errors
     /// The reason why it may not run, with the time after which to retry.
@@ -209,6 +209,7 @@
     pub step: &'static str,
     pub started: Millis,
     pub result: CallResult,
+    /// Cause or status of the result, for the log line.
     pub detail: &'a str,
 }
 
--- a/crates/bulrushusher_gateway/src/runs/begin.rs
+++ b/crates/bulrushusher_gateway/src/runs/begin.rs
@@ -34,7 +34,7 @@
         return start_whole(cx, fwd, history).await;
     }
     let mut held = place_or_refuse(cx, fwd, history, until).await?;
-    // The key may have been revoked while the request was queued; a prefill already counts as a
+    // The API key may have been revoked while the request was queued; a prefill already counts as a
     // run.
     cx.may_run(fwd).map_err(RunError::Withheld)?;
     let mut kv = prefill_prompt(cx, fwd, history, &mut held).await?;
@@ -48,7 +48,8 @@
         log::info!("read: again id={} cause=\"its runner started again\"", fwd.request.id);
         kv = prefill_prompt(cx, fwd, history, &mut held).await?;
     }
-    // The request may have crashed another runner during the prefill, or its key may be revoked.
+    // The request may have crashed another runner during the prefill, or its API key may be
+    // revoked.
     cx.may_run(fwd).map_err(RunError::Withheld)?;
     start_split(cx, fwd, history, held, kv).await
 }
--- a/crates/bulrushusher_gateway/src/runs/migration.rs
+++ b/crates/bulrushusher_gateway/src/runs/migration.rs
@@ -43,14 +43,14 @@
 
 /// State of a run's migration.
 pub(crate) enum Migration<D: Dialect> {
-    /// No migration is in progress.
+    /// No migration of the run is in progress.
     Idle {
-        /// Time before which none is started.
+        /// Time before which no migration is started.
         until: Millis,
     },
-    /// The memory is being copied.
+    /// The run's memory is being copied while the run continues.
     Copying(Copying<D>),
-    /// The run was stopped.
+    /// The run was stopped, to be resumed at the other runner.
     Stopped(Box<MigratedRun<D>>),
 }
 
@@ -65,7 +65,8 @@
         matches!(self, Migration::Stopped(_))
     }
 
-    /// Starts a migration if one is due.
+    /// Starts to copy the run to another decode runner if its runner is about to run out of memory
+    /// and would preempt it.
     pub(crate) fn start_if_due(
         &mut self,
         cx: &Arc<Router<D>>,
--- a/crates/bulrushusher_gateway/src/settings.rs
+++ b/crates/bulrushusher_gateway/src/settings.rs
@@ -243,7 +243,7 @@
     pub log_lines_per_second: usize,
     /// Time within which a configuration must be in force.
     pub configuration_in_force: Millis,
-    /// Time within which a revoked key must be refused.
+    /// Time within which a revoked API key must be refused.
     pub keys_revoked: Millis,
     /// Enforcement of client accounts' quotas.
     pub quotas: QuotaConfig,
--- a/crates/bulrushusher_gateway/src/shared/accounts.rs
+++ b/crates/bulrushusher_gateway/src/shared/accounts.rs
@@ -1,4 +1,7 @@
-//! State of client accounts: the lease on their API keys, and their quota usage.
+//! State of client accounts: the lease on the configuration, and their quota usage.
+//!
+//! The lease is how long this gateway may accept the API keys in its configuration without
+//! confirmation by the store, so that a revoked API key is refused within a time bound.
 
 use bulrushusher_accounts::{AccountUsage, Freshness, LeaseConfig, OverQuota, Quota, UsageReport};
 use bulrushusher_forward::RoutingConfig;
@@ -8,15 +11,16 @@
 use super::SharedState;
 
 impl SharedState {
-    /// Renews the lease: the store confirmed the configuration in response to a request sent at
-    /// `requested_at`.
+    /// Renews the lease on the configuration: the store confirmed the configuration in response to
+    /// a request sent at `requested_at`.
     pub(crate) fn renew_lease(&self, requested_at: Millis) {
         if !self.store_is_behind() {
             self.lease.lock().renew(requested_at);
         }
     }
 
-    /// Revokes the lease: a later configuration than the local one is in force.
+    /// Revokes this gateway's lease on its configuration, because a later configuration is in
+    /// force, which may have revoked API keys.
     pub(crate) fn revoke_lease(&self) {
         self.lease.lock().revoke(self.now());
     }
@@ -31,7 +35,8 @@
         self.lease.lock().age(self.now())
     }
 
-    /// Time until the lease must be renewed. `None` while no request needs a key.
+    /// Time until the lease on the configuration must be renewed. `None` while the configuration
+    /// has no client accounts, so that no request needs an API key.
     pub(crate) fn lease_due_in(&self) -> Option<Millis> {
         self.has_accounts().then(|| self.lease.lock().renew_in(self.lease_cfg(), self.now()))
     }
@@ -108,7 +113,8 @@
         self.quotas.lock().usage(self.now())
     }
 
-    /// The quota of an account for one window, in the unit of the quota.
+    /// What a quota grants in one sliding window (setting `window_s`): its rate over the length of
+    /// the window plus its burst, in the quota's unit.
     pub(crate) fn quota_in_window(&self, quota: Quota) -> f64 {
         quota.in_window(self.cfg.load().quotas.window)
     }
--- a/crates/bulrushusher_gateway/src/shared/mod.rs
+++ b/crates/bulrushusher_gateway/src/shared/mod.rs
@@ -90,7 +90,8 @@
     shutting_down: AtomicBool,
     /// Number of times that the store was restored from an older copy.
     restores: watch::Sender<u64>,
-    /// Notified when a caller presents a key that cannot be checked.
+    /// Notified when the lease on the configuration may be due for renewal: a caller presents an
+    /// API key that cannot be checked, or another configuration comes into force.
     pub lease_due: Notify,
     /// Notified when a report to the peers is due.
     pub report_due: Notify,
@@ -195,7 +196,7 @@
         let accounts = routing.accounts().map(AccountTable::len);
         self.set_quotas(&routing);
         self.routing.store(Some(Arc::new(routing)));
-        // The lease keeper sleeps while no request needs a key.
+        // The task that renews the lease sleeps while no request needs an API key.
         self.lease_due.notify_one();
         log::info!(
             "configuration: in force version={version} routes={routes} accounts={}",
--- a/crates/bulrushusher_gateway/src/shared/starts.rs
+++ b/crates/bulrushusher_gateway/src/shared/starts.rs
@@ -66,7 +66,8 @@
         self.with_runners(|runners, _| runners.directory.is_superseded(runner))
     }
 
-    /// Discards the state of the previous start.
+    /// Applies a reported process start of a runner. If it is newer than the known one, discards
+    /// the state that belongs to the previous start.
     fn apply_start(&self, id: &RunnerId, born: Option<StartTime>, status: StartStatus) {
         if born.is_some() && matches!(status, StartStatus::Current | StartStatus::Newer) {
             self.runs.lock().record_start(id, born);
--- a/crates/bulrushusher_gateway/src/store/feed.rs
+++ b/crates/bulrushusher_gateway/src/store/feed.rs
@@ -171,7 +171,8 @@
                 let peer_revision = self.shared.wait_for_newer_configuration().await;
                 self.shared.revoke_lease();
                 log::info!("store: behind a relay topic={} revision={peer_revision}", self.topic);
-                // Only the latest state of the store renews the lease on keys.
+                // Only the latest state of the store renews the lease on the configuration, under
+                // which API keys are accepted.
                 match self.shared.has_accounts() {
                     true => Freshness::Latest,
                     false => Freshness::AllowStale,
@@ -186,7 +187,8 @@
         }
     }
 
-    /// Requests the changes that no relay has forwarded, in one call to the store.
+    /// Requests from the store, in one call, all changes after the last revision that this gateway
+    /// has received. Called when relays could not supply the changes.
     async fn catch_up(&self) -> Result<(), StoreError> {
         let revision = self.shared.seen_revision(self.topic);
         let answer = self.store.watch(self.topic, revision, NO_WAIT, self.slack()).await;
@@ -312,7 +314,8 @@
         }
     }
 
-    /// Renews the lease on keys: the store has sent all changes up to the time of the request.
+    /// Renews the lease on the configuration: the store has sent all changes of the configuration
+    /// up to the time of the request.
     fn renew_lease(&self, requested_at: Millis) {
         if self.topic == Topic::Configuration {
             self.shared.renew_lease(requested_at);
--- a/crates/bulrushusher_gateway/src/store/orders.rs
+++ b/crates/bulrushusher_gateway/src/store/orders.rs
@@ -1,4 +1,5 @@
-//! Maintains the ratio of prefill and decode runners with fenced orders.
+//! Maintains the ratio of prefill and decode runners with fenced orders. An order is a request to a
+//! runner to change its stage.
 //!
 //! Any gateway may do so; the first relay does. A gateway that conditionally writes the order
 //! record in the store may send the one order that the record names, with the new revision of the
--- a/crates/bulrushusher_gateway/src/store/renewing.rs
+++ b/crates/bulrushusher_gateway/src/store/renewing.rs
@@ -20,10 +20,10 @@
 /// lease.
 const RETRY_DELAY: Millis = Millis(250);
 
-/// Minimum time between two calls, regardless of how many callers present unknown keys.
+/// Minimum time between two calls, regardless of how many callers present unknown API keys.
 const MIN_CALL_INTERVAL: Millis = Millis(100);
 
-/// The task that renews the lease.
+/// The task that renews the lease on the configuration.
 #[derive(Debug)]
 pub(crate) struct LeaseKeeper<S> {
     pub store: S,
@@ -33,7 +33,7 @@
 }
 
 impl<S: PlatformStore> LeaseKeeper<S> {
-    /// Renews the lease until dropped.
+    /// Renews the lease on the configuration until dropped.
     pub(crate) async fn run(self) {
         let mut is_failing = false;
         loop {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Waits until the lease must be renewed, or a caller presents an unknown key.
+    /// Waits until the lease must be renewed, or a caller presents an unknown API key.
     async fn wait_until_due(&self) {
         loop {
             let due = self.shared.lease_due.notified();
