--- a/crates/bulrushusher_gateway/src/runners/router.rs
+++ b/crates/bulrushusher_gateway/src/runners/router.rs
@@ -209,7 +209,7 @@
     pub step: &'static str,
     pub started: Millis,
     pub result: CallResult,
-    /// Cause or status of the result, for the log line.
+    /// Cause of a result other than an answer, for the log line; empty for an answer.
     pub detail: &'a str,
 }
 
